--- a/features/steps/capacities_steps.py
+++ b/features/steps/capacities_steps.py
@@ -5,7 +5,7 @@
 from behave import then, when
 
 from features.support.owner_jobs import START_S, hand_in, job_id_of
-from mustardgap.executor_links import STARTS_AN_EXECUTOR
+from mustardgap.executor_links import MAX_STARTS_PER_EXECUTOR
 from mustardgap.pool_demands import FILL_SHARE, Forecast, PoolDemand
 from mustardgap.pool_views import ExecutorView, PoolView
 from mustardgap.workloads import Room
@@ -60,16 +60,16 @@
         await asyncio.sleep(START_S)
         (executor,) = world.fleet.by_address.values()
         (link,) = world.dispatcher().roster.links_by_executor.values()
-        for _ in range(STARTS_AN_EXECUTOR):
-            await link._starting_here.acquire()
+        for _ in range(MAX_STARTS_PER_EXECUTOR):
+            await link._executor_starts.acquire()
         assert await world.submit_until_accepted(job_id_of(1), TWO_STEPS)
         await asyncio.sleep(0.1)
         assert len(link.runs_by_key) == TWO_STEPS.steps[0].width, "no start waits"
         executor.resize(Room())
         world.publish(executor)
         await asyncio.sleep(1.5)
-        for _ in range(STARTS_AN_EXECUTOR):
-            link._starting_here.release()
+        for _ in range(MAX_STARTS_PER_EXECUTOR):
+            link._executor_starts.release()
         await asyncio.sleep(1)
         runs = world.fleet.record.runs
         context.sent = sum(run.executor == executor.entry.executor for run in runs)
--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -437,7 +437,7 @@
 @then("a lasting run found {age:g} s ago {counts} as at work, where a stop takes {stop:g} s")
 def counts_as_at_work(context, age, counts, stop):
     task = Task(task_id=TaskId(job_id_of(1), 0, 0, 0), step=LASTING.steps[0])
-    link = SimpleNamespace(up=True, heard_at=100.0)
+    link = SimpleNamespace(up=True, last_report_at=100.0)
     run = Run(task=task, number=1, link=link, now=100.0 - age)
     run.phase = RunPhase.RUNNING
     run.percent = 100
--- a/mustardgap/advices.py
+++ b/mustardgap/advices.py
@@ -10,10 +10,10 @@
 from .workloads import AdvicePolicy, ExecutorId, TaskId
 
 # A ticket that is about to end would be refused by the time the start arrives.
-MARGIN_S = 0.15
+EXPIRY_MARGIN_S = 0.15
 RETRY_S = 0.2
 # A call takes the service some time for each executor named; more than these are seldom needed.
-MOST_NAMED = 16
+MAX_EXECUTORS_PER_CALL = 16
 
 
 class StepKey(NamedTuple):
@@ -31,16 +31,16 @@
 
 class _Ticket(NamedTuple):
     text: str
-    until: float
+    expires_at: float
 
 
-class _Wish(NamedTuple):
+class _TicketRequest(NamedTuple):
     key: StepKey
     executors: tuple[ExecutorId, ...]
     policy: AdvicePolicy
 
 
-class AdviceDesk:
+class AdviceTicketCache:
     """Asks for tickets, one call at a time, and keeps them while they hold.
 
     The service handles the calls of a host in turn and refuses when too many wait, so a second call
@@ -58,26 +58,28 @@
         self._tickets_by_step: dict[StepKey, dict[ExecutorId, _Ticket]] = {}
         # What a policy allows for a step doesn't change.
         self._denied_by_step: dict[StepKey, set[ExecutorId]] = {}
-        self._wishes_by_step: dict[StepKey, _Wish] = {}
+        self._requests_by_step: dict[StepKey, _TicketRequest] = {}
         self._wake = asyncio.Event()
         self.granted = asyncio.Event()
 
     def ticket(self, key: StepKey, executor: ExecutorId) -> str | None:
         """A ticket that holds, None if there is none."""
         found = self._tickets_by_step.get(key, {}).get(executor)
-        if found is None or self._clock.monotonic() > found.until - MARGIN_S:
+        if found is None or self._clock.monotonic() > found.expires_at - EXPIRY_MARGIN_S:
             return None
         return found.text
 
-    def want(self, key: StepKey, executors: Sequence[ExecutorId], policy: AdvicePolicy) -> None:
+    def request(self, key: StepKey, executors: Sequence[ExecutorId], policy: AdvicePolicy) -> None:
         """Have tickets asked for, for executors that aren't known to be denied or granted.
 
         :param executors: the best ones first.
         """
         denied = self._denied_by_step.get(key, set())
         unknown = [e for e in executors if e not in denied and self.ticket(key, e) is None]
-        if unknown and key not in self._wishes_by_step:
-            self._wishes_by_step[key] = _Wish(key, tuple(unknown[:MOST_NAMED]), policy)
+        if unknown and key not in self._requests_by_step:
+            self._requests_by_step[key] = _TicketRequest(
+                key, tuple(unknown[:MAX_EXECUTORS_PER_CALL]), policy
+            )
             self._wake.set()
 
     def drop(self, key: StepKey, executor: ExecutorId) -> None:
@@ -86,40 +88,42 @@
 
     def forget(self, job: str) -> None:
         """Forget all that is known of a job that has ended."""
-        for book in (self._tickets_by_step, self._denied_by_step, self._wishes_by_step):
-            for key in [key for key in book if key.job == job]:
-                del book[key]  # type: ignore[attr-defined]
+        for table in (self._tickets_by_step, self._denied_by_step, self._requests_by_step):
+            for key in [key for key in table if key.job == job]:
+                del table[key]  # type: ignore[attr-defined]
 
     async def run(self) -> None:
         """Ask for what is wanted until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._wishes_by_step:
-                wish = next(iter(self._wishes_by_step.values()))
-                await self._ask(wish)
-                self._wishes_by_step.pop(wish.key, None)
+            while self._requests_by_step:
+                request = next(iter(self._requests_by_step.values()))
+                await self._fetch(request)
+                self._requests_by_step.pop(request.key, None)
 
-    async def _ask(self, wish: _Wish) -> None:
+    async def _fetch(self, request: _TicketRequest) -> None:
         asked_at = self._clock.monotonic()
-        step = TaskId(wish.key.job, wish.key.occurrence, wish.key.step, 0)
-        outcome = await self._advice.advise(step=step, executors=wish.executors)
+        step = TaskId(request.key.job, request.key.occurrence, request.key.step, 0)
+        outcome = await self._advice.advise(step=step, executors=request.executors)
         if not isinstance(outcome, Granted):
-            self._events.note("advice.unanswered", vital=True, job=wish.key.job, why=outcome.detail)
+            self._events.note(
+                "advice.unanswered", vital=True, job=request.key.job, why=outcome.detail
+            )
             await self._clock.sleep(RETRY_S)
             return
         # The time runs from before the answer, so it ends here no later than at the executor.
-        until = asked_at + (outcome.valid_s or wish.policy.valid_s)
-        tickets = self._tickets_by_step.setdefault(wish.key, {})
+        expires_at = asked_at + (outcome.valid_s or request.policy.valid_s)
+        tickets = self._tickets_by_step.setdefault(request.key, {})
         for executor, text in outcome.tickets_by_executor.items():
-            tickets[executor] = _Ticket(text, until)
-        denied = self._denied_by_step.setdefault(wish.key, set())
-        denied.update(set(wish.executors) - set(outcome.tickets_by_executor))
+            tickets[executor] = _Ticket(text, expires_at)
+        denied = self._denied_by_step.setdefault(request.key, set())
+        denied.update(set(request.executors) - set(outcome.tickets_by_executor))
         self._events.note(
             "advice.granted",
-            job=wish.key.job,
-            step=wish.key.step,
-            asked=len(wish.executors),
+            job=request.key.job,
+            step=request.key.step,
+            asked=len(request.executors),
             granted=len(outcome.tickets_by_executor),
             took_s=self._clock.monotonic() - asked_at,
         )
--- a/mustardgap/crashes.py
+++ b/mustardgap/crashes.py
@@ -229,7 +229,7 @@
             task = run.task
             if not task.crashes or run.began_s is None:
                 continue
-            if run.link.up and run.link.seen_s - run.began_s >= PROVEN_S:
+            if run.link.up and run.link.report_clock_s - run.began_s >= PROVEN_S:
                 task.crashes.clear()
                 self._put_on_record(self._shard.job_of(task.task_id), task)
 
--- a/mustardgap/dispatchers.py
+++ b/mustardgap/dispatchers.py
@@ -5,12 +5,12 @@
 from typing import Any, NamedTuple
 
 from . import cancellations, metrics
-from .advices import AdviceDesk, StepKey
+from .advices import AdviceTicketCache, StepKey
 from .crashes import CrashTracker
 from .evacuations import Evacuations
 from .events import EventLog
 from .executor_links import ExecutorLink
-from .executor_rosters import AUTHORITY_S, OTHER_ANSWERS, ExecutorRoster
+from .executor_rosters import AUTHORITY_S, OTHER_INCARNATION_ANSWERS, ExecutorRoster
 from .isolation import Isolation
 from .job_desks import JobDesk
 from .job_states import (
@@ -121,7 +121,7 @@
         self.pacing = Pacing(clock=clock)
         self.crashes = CrashTracker(dispatcher=self, clock=clock, events=events, policy=policy)
         self.isolation = Isolation(dispatcher=self, clock=clock)
-        self.advices = AdviceDesk(advice=advice, clock=clock, events=events)
+        self.advices = AdviceTicketCache(advice=advice, clock=clock, events=events)
         self.desk = JobDesk(dispatcher=self, store=store, clock=clock, events=events)
         self.roster = ExecutorRoster(
             dispatcher=self, executors=executors, clock=clock, events=events
@@ -206,16 +206,16 @@
         records = read_records(values)
         for why in records.invalid:
             self._events.note("record.invalid", vital=True, shard=self.shard, why=why)
-        self.roster.closed_before = records.closed
+        self.roster.previous_closed_cleanly = records.closed
         self.log.put_owner(closed=False)
         self.jobs_by_id.update(records.jobs_by_id)
         for entry in records.executors:
             self.roster.open(entry, inherited=True)
         for executor in records.unread_executors:
-            self.roster.wait_for(executor)
+            self.roster.await_lease_expiry(executor)
         # Starts aren't stored: each executor that a former owner used tells what it runs. Until
         # all have, a task that isn't known to have ended may run on one of the others.
-        if self.roster.unheard:
+        if self.roster.awaiting_report:
             for job in self.jobs_by_id.values():
                 for task in job.tasks():
                     task.inherited = job.phase is JobPhase.LIVE and not task.done
@@ -253,7 +253,7 @@
 
     def on_report(self, link: ExecutorLink) -> None:
         """An executor has answered."""
-        self.roster.heard(link.entry.executor)
+        self.roster.note_reported(link.entry.executor)
         self.crashes.on_heard(link)
         self.wake()
 
@@ -267,13 +267,13 @@
 
     def on_lapsed(self, link: ExecutorLink) -> None:
         """All leases on an executor have lapsed."""
-        self.roster.heard(link.entry.executor)
+        self.roster.note_reported(link.entry.executor)
         if not link.listed:
             self.roster.drop(link, "lapsed and not listed")
 
     def on_gone(self, link: ExecutorLink) -> None:
         """Another executor answers at the address."""
-        self.roster.drop(link, OTHER_ANSWERS)
+        self.roster.drop(link, OTHER_INCARNATION_ANSWERS)
 
     def on_fenced(self, link: ExecutorLink) -> None:
         """A later owner is at work: step down."""
@@ -347,7 +347,7 @@
         if not note_end(job, task, end):
             return None
         if task.done and task.run is not None:
-            task.run.link.end(task.run, "done elsewhere")
+            task.run.link.stop_run(task.run, "done elsewhere")
         if self._settle(job, task):
             return self.ending_by_id.get(job.job_id)
         return self.put_progress(job)
@@ -420,7 +420,7 @@
         self.advices.forget(job.job_id)
         for task in job.tasks():
             if task.run is not None:
-                task.run.link.end(task.run, phase.name.lower())
+                task.run.link.stop_run(task.run, phase.name.lower())
 
     def _show(self, job: Job, ticket: Ticket) -> None:
         self.ending_by_id.pop(job.job_id, None)
@@ -472,7 +472,7 @@
                 continue
             if link is not None:
                 self.roster.drop(link, "ordered away" if link.closing else "replaced")
-            self.roster.departed.add(executor)
+            self.roster.removed.add(executor)
         for executor, link in self.roster.links_by_executor.items():
             if link.entry.service == request.service:
                 link.closing = executor in closing
--- a/mustardgap/executor_clocks.py
+++ b/mustardgap/executor_clocks.py
@@ -28,13 +28,13 @@
             self._clock_ms = clock_ms
             self._seen_at = now
 
-    def until(self, lease_s: float, *, now: float) -> int | None:
+    def deadline_ms(self, after_s: float, *, now: float) -> int | None:
         """The executor's time in ``lease_s`` seconds, in ms; None before its first answer."""
         if self._seen_at is None:
             return None
-        return int(self._clock_ms + (now - self._seen_at + lease_s) * 1000)
+        return int(self._clock_ms + (now - self._seen_at + after_s) * 1000)
 
-    def granted(self, until_ms: int) -> None:
+    def note_granted(self, until_ms: int) -> None:
         """Note that a lease until this time may have reached the executor."""
         self._granted_ms = max(self._granted_ms, until_ms)
 
--- a/mustardgap/executor_links.py
+++ b/mustardgap/executor_links.py
@@ -29,31 +29,31 @@
 LEASE_S = 3.5
 # A start that is carried out later than this is turned down by the executor; orders that executors
 # hold back arrive 2 s late or more.
-START_S = 1.5
-START_TRIES = 3
+START_VALIDITY_S = 1.5
+MAX_START_ATTEMPTS = 3
 # Starts that one executor, and all of a shard, may have under way at once; others wait their turn,
 # and only then does their time run. Sent all at once, the last ones of a burst went out later than
 # an answer is waited for, were taken for lost, repeated and stopped: an owner with half a core got
 # no answer 6,991 times in 45 s. Two racks of 8 executors that answer nothing hold half of the 64.
-STARTS_AN_EXECUTOR, STARTS_A_SHARD = 4, 64
+MAX_STARTS_PER_EXECUTOR, MAX_STARTS_PER_SHARD = 4, 64
 # How long a look waits for an end where only lasting tasks run, or none. A connection that went
 # silent is noticed after this and the patience for an answer, well before the lease lapses.
-IDLE_WAIT_S = 1.0
+IDLE_POLL_WAIT_S = 1.0
 # The same where tasks run that end by themselves: a look whose answer is lost hides their ends for
 # as long, and a job of many tasks waits for each.
-BUSY_WAIT_S = 0.3
+BUSY_POLL_WAIT_S = 0.3
 # The same where a task runs of which it has to be seen whether it crashes its executor.
-TRIAL_WAIT_S = 0.1
+TRIAL_POLL_WAIT_S = 0.1
 # The pause between looks at an executor that doesn't answer, and between repeated orders.
 RETRY_S = 0.15
 # How long a look's successor waits for the ends to be durable, so that it can acknowledge them: a
 # few times what the store takes. A slow store takes longer than the ends that come next may wait.
-ACKNOWLEDGE_S = 0.05
+ACKNOWLEDGE_WAIT_S = 0.05
 # An executor that lists ends that aren't acknowledged answers at once; it is asked this often.
-BEHIND_S = 0.06
+BACKLOG_POLL_S = 0.06
 # An executor lists this many ends at once at the most.
 MAX_LISTED_ENDS = 500
-NOTHING = Room()
+NO_RESOURCES = Room()
 
 
 class LinkOwner(Protocol):
@@ -108,9 +108,9 @@
     :param owner: is told what happens.
     :param clock: the clocks to read.
     :param events: the process's log.
-    :param starting: limits the starts that the shard has under way.
-    :param under_way: counts them.
-    :param lapse_at: steady time at which leases of former owners have surely lapsed.
+    :param shard_starts: limits the starts that the shard has under way.
+    :param orders_in_flight: counts them.
+    :param inherited_lapse_at: steady time at which leases of former owners have surely lapsed.
     """
 
     def __init__(
@@ -122,14 +122,14 @@
         owner: LinkOwner,
         clock: Clock,
         events: EventLog,
-        starting: asyncio.Semaphore,
-        under_way: OrdersUnderWay,
-        lapse_at: float,
+        shard_starts: asyncio.Semaphore,
+        orders_in_flight: OrdersUnderWay,
+        inherited_lapse_at: float,
     ) -> None:
         self.entry = entry
         self.fence = fence
         self.up = False
-        self.audited = False
+        self.has_reported = False
         self.lapsed = False
         self.listed = True
         self.missing_since: float | None = None
@@ -141,37 +141,37 @@
         self.trial: Run | None = None
         # Whether its capacity is known well enough to start more.
         self.room_known = True
-        self.durable: Ticket | None = None
+        self.entry_record: Ticket | None = None
         self.runs_by_key: dict[tuple[Any, int], Run] = {}
         self.used = Room()
         # What runs there that isn't this owner's, by the last report; None if its size isn't known.
-        self.foreign: Room | None = NOTHING
+        self.foreign: Room | None = NO_RESOURCES
         self.lasting_runs = 0
         self.pause_until = 0.0
-        self.failures_in_a_row = 0
+        self.consecutive_failures = 0
         self.failed_at = float("-inf")
         self.failed_jobs: set[str] = set()
         self.slow_marks = 0
         self.slow_jobs: set[str] = set()
         # The time of the executor's steady clock that its last report tells of.
-        self.seen_s = 0.0
+        self.report_clock_s = 0.0
         # Steady time at which its last report came.
-        self.heard_at = float("-inf")
+        self.last_report_at = float("-inf")
         self._port = port
         self._owner = owner
         self._clock = clock
         self._events = events
-        self._starting_here = asyncio.Semaphore(STARTS_AN_EXECUTOR)
-        self._starting = starting
-        self._under_way = under_way
+        self._executor_starts = asyncio.Semaphore(MAX_STARTS_PER_EXECUTOR)
+        self._shard_starts = shard_starts
+        self._orders_in_flight = orders_in_flight
         self._executor_clock = ExecutorClock()
-        self._lapse_at = lapse_at
+        self._inherited_lapse_at = inherited_lapse_at
         self._silent = False
         self._patience = Patience()
         # Whether the last look got no answer, and may still arrive.
-        self._looks_again = False
-        self._acknowledged = 0
-        self._seen_end = 0
+        self._poll_unanswered = False
+        self._acknowledged_number = 0
+        self._last_end_number = 0
         self._unacknowledged: list[tuple[int, Ticket | None]] = []
         self._strays: set[tuple[Any, int]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -185,19 +185,21 @@
             return False
         if not run.at_work:
             return True
-        return is_prime_suspect(run.task) and not run.is_at_work(self.seen_s, trial_s(run.task))
+        return is_prime_suspect(run.task) and not run.is_at_work(
+            self.report_clock_s, trial_s(run.task)
+        )
 
     @property
     def free(self) -> Room:
         """What is left of the executor's capacity."""
-        return self.entry.capacity.minus(self.used).minus(self.foreign or NOTHING)
+        return self.entry.capacity.minus(self.used).minus(self.foreign or NO_RESOURCES)
 
     def holds(self, room: Room) -> bool:
         """Whether an amount fits into what is left of the capacity."""
         if self.foreign is None:
             return False
         capacity, used = self.entry.capacity, self.used
-        if self.foreign != NOTHING:
+        if self.foreign != NO_RESOURCES:
             used = used.plus(self.foreign)
         return (
             capacity.cpu - used.cpu >= room.cpu
@@ -217,12 +219,12 @@
             self.used = self.used.minus(run.task.step.room)
             self.lasting_runs -= run.task.step.lasting
 
-    def begin(self, run: Run, *, payload: str, ticket: str) -> None:
+    def start_run(self, run: Run, *, payload: str, ticket: str) -> None:
         """Start a run; what becomes of it is told to the owner."""
         self.add(run)
-        self._spawn(self._start(run, payload, ticket), lambda: self._end_unstarted(run))
+        self._spawn(self._start(run, payload, ticket), lambda: self._settle_failed_start(run))
 
-    def end(self, run: Run, why: str) -> None:
+    def stop_run(self, run: Run, why: str) -> None:
         """Stop a run; its end is told to the owner."""
         if run.phase is RunPhase.STOPPING:
             return
@@ -238,7 +240,7 @@
         )
         self._order_stop(run.task.task_id, run.number, run)
 
-    def keep(self, run: Run, why: str) -> None:
+    def cancel_stop(self, run: Run, why: str) -> None:
         """Send no stop of a run any more."""
         run.phase = RunPhase.RUNNING
         self._events.note(
@@ -253,7 +255,7 @@
     def pace(self, run: Run, percent: int) -> None:
         """Let a run work at a share of its speed."""
         run.pace = percent
-        self._spawn(self._pace(run, percent), lambda: self._forget_pace(run, percent))
+        self._spawn(self._pace(run, percent), lambda: self._reset_pace(run, percent))
 
     def close(self) -> None:
         """End all orders that are under way."""
@@ -264,51 +266,53 @@
     async def run(self) -> None:
         """Hold the lease and take in reports until the executor is gone, or cancelled."""
         while True:
-            outcome = await self._look()
+            outcome = await self._poll()
             if isinstance(outcome, Fenced | OtherIncarnation):
-                self._end_use(outcome)
+                self._notify_unusable(outcome)
                 return
             if isinstance(outcome, Report):
                 continue
-            if isinstance(outcome, NoAnswer) and outcome.sent and not self._gives_up():
+            if isinstance(outcome, NoAnswer) and outcome.sent and not self._note_unanswered_poll():
                 continue
-            self._miss(outcome)
+            self._note_silence(outcome)
             await self._clock.sleep(RETRY_S)
 
-    def _gives_up(self) -> bool:
+    def _note_unanswered_poll(self) -> bool:
         """Whether one more look without an answer says something of the executor.
 
         Some of an executor's answers may be lost, or its orders be held up. Given a long time each,
         looks showed ends 1.6 s late, and executors that were well got nothing new for as long.
         """
-        given_up = self._silent or self._patience.is_over
-        self._looks_again = True
+        is_silent = self._silent or self._patience.is_over
+        self._poll_unanswered = True
         self._patience.note_missed()
-        return given_up
+        return is_silent
 
-    async def _look(self) -> Report | Fenced | OtherIncarnation | Refused | NoAnswer:
+    async def _poll(self) -> Report | Fenced | OtherIncarnation | Refused | NoAnswer:
         now = self._clock.monotonic()
         await self._acknowledge()
-        until = self._until(now)
-        behind = bool(self._unacknowledged)
-        wait_s = 0.0 if until is None or behind or not self.audited else self._wait_s
+        until_ms = self._lease_until_ms(now)
+        has_backlog = bool(self._unacknowledged)
+        wait_s = (
+            0.0 if until_ms is None or has_backlog or not self.has_reported else self._poll_wait_s
+        )
         sent_at = self._clock.monotonic()
         outcome = await self._port.hold(
             self.entry,
             fence=self.fence,
-            acknowledged=self._acknowledged,
-            until_ms=until,
+            acknowledged=self._acknowledged_number,
+            until_ms=until_ms,
             wait_s=wait_s,
             patience_s=self._patience.seconds,
         )
         if isinstance(outcome, Report):
-            self._looks_again = False
+            self._poll_unanswered = False
             # An answer that came before the wait was over, as something ended, counts as prompt.
             self._patience.note_answered(max(self._clock.monotonic() - sent_at - wait_s, 0.0))
-            self._take_in(outcome, sent_at)
-            if behind:
+            self._apply_report(outcome, sent_at)
+            if has_backlog:
                 # The store takes no ends just now; they stay with the executor until it does.
-                await self._clock.sleep(BEHIND_S if self._is_busy else RETRY_S)
+                await self._clock.sleep(BACKLOG_POLL_S if self._is_busy else RETRY_S)
         return outcome
 
     @property
@@ -317,12 +321,12 @@
         return len(self.runs_by_key) > self.lasting_runs
 
     @property
-    def _wait_s(self) -> float:
+    def _poll_wait_s(self) -> float:
         if self.on_trial:
-            return TRIAL_WAIT_S
-        return BUSY_WAIT_S if self._is_busy else IDLE_WAIT_S
+            return TRIAL_POLL_WAIT_S
+        return BUSY_POLL_WAIT_S if self._is_busy else IDLE_POLL_WAIT_S
 
-    def _until(self, now: float) -> int | None:
+    def _lease_until_ms(self, now: float) -> int | None:
         """The lease to ask for.
 
         A look that gets no answer may arrive late and still extend the lease. If each repetition
@@ -330,30 +334,30 @@
         what it ran could never be started elsewhere; so repetitions ask for nothing.
         """
         lease_s = min(LEASE_S, self._owner.authority_s())
-        if self._silent or self._looks_again or lease_s <= 0:
+        if self._silent or self._poll_unanswered or lease_s <= 0:
             return None
-        until = self._executor_clock.until(lease_s, now=now)
-        if until is not None:
-            self._executor_clock.granted(until)
-        return until
+        until_ms = self._executor_clock.deadline_ms(lease_s, now=now)
+        if until_ms is not None:
+            self._executor_clock.note_granted(until_ms)
+        return until_ms
 
     async def _acknowledge(self) -> None:
         waiting = [t.outcome for _, t in self._unacknowledged if t and not t.outcome.done()]
         if waiting:
-            await asyncio.wait(waiting, timeout=ACKNOWLEDGE_S)
+            await asyncio.wait(waiting, timeout=ACKNOWLEDGE_WAIT_S)
         while self._unacknowledged:
             number, ticket = self._unacknowledged[0]
             if ticket is not None and not ticket.durable:
                 return
-            self._acknowledged = number
+            self._acknowledged_number = number
             self._unacknowledged.pop(0)
 
-    def _take_in(self, report: Report, sent_at: float) -> None:
+    def _apply_report(self, report: Report, sent_at: float) -> None:
         now = self._clock.monotonic()
         self._executor_clock.observe(report.clock_ms, now=now)
-        self.seen_s = report.clock_ms / 1000
-        self.heard_at = now
-        if self._silent or not self.audited:
+        self.report_clock_s = report.clock_ms / 1000
+        self.last_report_at = now
+        if self._silent or not self.has_reported:
             self._events.note(
                 "executor.up",
                 executor=self.entry.executor,
@@ -366,23 +370,23 @@
         self._silent = False
         self.lapsed = False
         for end in report.ended:
-            self._take_end(end)
+            self._apply_end(end)
         listed = {(row.task, row.run) for row in report.running}
         for row in report.running:
-            self._take_row(row, now)
-        self.foreign = self._room_of_foreign(report)
+            self._apply_row(row, now)
+        self.foreign = self._sum_foreign(report)
         if len(report.ended) < MAX_LISTED_ENDS:
             self._drop_missing(listed, sent_at)
         self.up = True
-        self.audited = True
+        self.has_reported = True
         if was_silent:
             self.slow_marks = 0
         self._owner.on_report(self)
 
-    def _take_end(self, end: EndRow) -> None:
-        if end.number <= self._seen_end:
+    def _apply_end(self, end: EndRow) -> None:
+        if end.number <= self._last_end_number:
             return
-        self._seen_end = end.number
+        self._last_end_number = end.number
         run = self.runs_by_key.get((end.task, end.run))
         if run is not None:
             self.remove(run)
@@ -390,7 +394,7 @@
         ticket = self._owner.on_end(self, end, run)
         self._unacknowledged.append((end.number, ticket))
 
-    def _take_row(self, row: RunRow, now: float) -> None:
+    def _apply_row(self, row: RunRow, now: float) -> None:
         key = (row.task, row.run)
         run = self.runs_by_key.get(key)
         if run is None:
@@ -405,24 +409,24 @@
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
             run.confirmed_at = now
-        run.note_begun(self.seen_s)
-        if not run.at_work and run.is_at_work(self.seen_s):
+        run.note_begun(self.report_clock_s)
+        if not run.at_work and run.is_at_work(self.report_clock_s):
             run.at_work = True
             self._owner.on_at_work(run)
         if row.percent != run.percent:
             run.percent = row.percent
-            run.moved_s = self.seen_s
+            run.moved_s = self.report_clock_s
         if row.checkpoint:
             run.task.checkpoint = row.checkpoint
         run.load = row.load
 
-    def _room_of_foreign(self, report: Report) -> Room | None:
+    def _sum_foreign(self, report: Report) -> Room | None:
         """What is listed and isn't this owner's: it takes room until its end is listed.
 
         A successor has the tasks of jobs that are over stopped, which takes as long as a stop may.
         Not counted, others would be started into their room at once.
         """
-        room = NOTHING
+        room = NO_RESOURCES
         for row in report.running:
             if (row.task, row.run) in self.runs_by_key:
                 continue
@@ -454,7 +458,7 @@
         )
         self._order_stop(task_id, number, None)
 
-    def _miss(self, outcome: Refused | NoAnswer) -> None:
+    def _note_silence(self, outcome: Refused | NoAnswer) -> None:
         now = self._clock.monotonic()
         if not self._silent:
             self._silent = True
@@ -470,7 +474,9 @@
             )
             if isinstance(outcome, NoAnswer) and outcome.closed:
                 self._owner.on_closed(self)
-        lapsed_at = self._executor_clock.lapsed_at() if self.audited else self._lapse_at
+        lapsed_at = (
+            self._executor_clock.lapsed_at() if self.has_reported else self._inherited_lapse_at
+        )
         if lapsed_at is None or now < lapsed_at or self.lapsed:
             return
         self.lapsed = True
@@ -488,35 +494,35 @@
     async def _start(self, run: Run, payload: str, ticket: str) -> None:
         task = run.task
         unanswered = False
-        for _ in range(START_TRIES):
-            async with self._starting_here, self._starting:
+        for _ in range(MAX_START_ATTEMPTS):
+            async with self._executor_starts, self._shard_starts:
                 if (task.task_id, run.number) not in self.runs_by_key:
                     # Given up while it waited: its task may run elsewhere by now.
                     return
                 if run.phase is not RunPhase.STARTING:
                     return
-                if not self.free.holds(NOTHING) and unanswered:
+                if not self.free.holds(NO_RESOURCES) and unanswered:
                     break
-                why_not = self._why_not_sent()
-                if why_not and not unanswered:
+                reason_not_sent = self._reason_not_to_send()
+                if reason_not_sent and not unanswered:
                     self.remove(run)
-                    self._owner.on_lost(self, run, why_not)
+                    self._owner.on_lost(self, run, reason_not_sent)
                     return
                 outcome = await self._order_start(run, payload, ticket)
             metrics.run_starts.add(1, {"outcome": type(outcome).__name__})
             if isinstance(outcome, Started):
                 run.note_begun(outcome.clock_ms / 1000)
-                self._confirm(run)
+                self._confirm_start(run)
                 return
             if isinstance(outcome, StartRefused | Refused):
                 if unanswered:
                     # An earlier try may have been carried out, and the run have ended since: an
                     # executor turns the repeat down as old, and the task would be run again.
                     break
-                self._refuse(run, outcome)
+                self._handle_refusal(run, outcome)
                 return
             if isinstance(outcome, Fenced | OtherIncarnation):
-                self._end_use(outcome)
+                self._notify_unusable(outcome)
                 return
             unanswered = unanswered or outcome.sent
             self._patience.note_missed()
@@ -531,15 +537,15 @@
             )
         # Nobody can tell whether it runs. A stop that is answered settles it: either the end is
         # listed, or the start is turned down when it arrives.
-        self.end(run, "start unanswered")
+        self.stop_run(run, "start unanswered")
 
-    def _why_not_sent(self) -> str:
+    def _reason_not_to_send(self) -> str:
         """Why a start whose turn has come had better not be sent; empty if it may be."""
         if self._silent:
             # It certainly didn't happen, so its task needn't wait for the lease to lapse; and each
             # try would stretch the time for which the lease may last.
             return "not sent"
-        if not self.free.holds(NOTHING):
+        if not self.free.holds(NO_RESOURCES):
             # The capacity has shrunk since; an executor that doesn't guard it would start it.
             return "no room any more"
         return ""
@@ -548,10 +554,10 @@
         self, run: Run, payload: str, ticket: str
     ) -> Started | StartRefused | Fenced | OtherIncarnation | Refused | NoAnswer:
         task = run.task
-        until = self._executor_clock.until(START_S, now=self._clock.monotonic())
-        assert until is not None
-        self._executor_clock.granted(until)
-        self._under_way.count += 1
+        until_ms = self._executor_clock.deadline_ms(START_VALIDITY_S, now=self._clock.monotonic())
+        assert until_ms is not None
+        self._executor_clock.note_granted(until_ms)
+        self._orders_in_flight.count += 1
         sent_before, run.sent = run.sent, True
         sent_at = self._clock.monotonic()
         try:
@@ -560,34 +566,34 @@
                 task=task.task_id,
                 run=run.number,
                 payload=payload,
-                until_ms=until,
+                until_ms=until_ms,
                 fence=self.fence,
                 checkpoint=task.checkpoint,
                 ticket=ticket,
-                patience_s=self._patience.beside(self._under_way.count),
+                patience_s=self._patience.beside(self._orders_in_flight.count),
             )
         finally:
-            self._under_way.count -= 1
+            self._orders_in_flight.count -= 1
         if not isinstance(outcome, NoAnswer):
             self._patience.note_answered(self._clock.monotonic() - sent_at)
         elif not outcome.sent:
             run.sent = sent_before
         return outcome
 
-    def _end_use(self, outcome: Fenced | OtherIncarnation) -> None:
+    def _notify_unusable(self, outcome: Fenced | OtherIncarnation) -> None:
         if isinstance(outcome, Fenced):
             self._owner.on_fenced(self)
         else:
             self._owner.on_gone(self)
 
-    def _confirm(self, run: Run) -> None:
+    def _confirm_start(self, run: Run) -> None:
         if (run.task.task_id, run.number) not in self.runs_by_key:
             return
         run.confirmed_at = self._clock.monotonic()
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
 
-    def _refuse(self, run: Run, outcome: StartRefused | Refused) -> None:
+    def _handle_refusal(self, run: Run, outcome: StartRefused | Refused) -> None:
         why = outcome.reason if isinstance(outcome, StartRefused) else outcome.detail
         if isinstance(outcome, StartRefused) and outcome.clock_ms is not None:
             self._executor_clock.observe(outcome.clock_ms, now=self._clock.monotonic())
@@ -595,12 +601,12 @@
             self.remove(run)
             self._owner.on_refused(self, run, why)
 
-    def _end_unstarted(self, run: Run) -> None:
+    def _settle_failed_start(self, run: Run) -> None:
         # Its start may have arrived or not. Left as it is, it would be placed nowhere else, and its
         # job never end; the stop settles it.
         known = (run.task.task_id, run.number) in self.runs_by_key
         if known and run.phase is RunPhase.STARTING:
-            self.end(run, "start failed")
+            self.stop_run(run, "start failed")
 
     def _order_stop(
         self, task_id: Any, number: int, run: Run | None, *, pause_s: float = 0.0
@@ -615,7 +621,7 @@
         if pause_s:
             await self._clock.sleep(pause_s)
         unanswered = False
-        while run is None or await self._has_leave_to_stop(run):
+        while run is None or await self._wait_until_stop_allowed(run):
             outcome = await self._port.stop(self.entry, task=task_id, run=number, fence=self.fence)
             if isinstance(outcome, Stopped):
                 if run is not None and run.confirmed_at is None:
@@ -623,7 +629,7 @@
                 self._strays.discard((task_id, number))
                 return
             if isinstance(outcome, Fenced | OtherIncarnation):
-                self._end_use(outcome)
+                self._notify_unusable(outcome)
                 return
             if isinstance(outcome, Refused):
                 self._note_stop("run.stop_refused", task_id, number, outcome.detail)
@@ -637,17 +643,17 @@
                 run.unanswered_at = self._clock.monotonic()
             await self._clock.sleep(RETRY_S)
 
-    async def _has_leave_to_stop(self, run: Run) -> bool:
+    async def _wait_until_stop_allowed(self, run: Run) -> bool:
         """Wait until a run may be stopped; False once it is gone, or is kept."""
-        told = False
+        logged = False
         while (run.task.task_id, run.number) in self.runs_by_key:
             if self._owner.may_stop(run):
                 return True
             if run.phase is not RunPhase.STOPPING:
                 return False
-            if not told:
+            if not logged:
                 self._note_stop("run.stop_waits", run.task.task_id, run.number, run.why_stopped)
-            told = True
+            logged = True
             await self._clock.sleep(RETRY_S)
         return False
 
@@ -667,9 +673,9 @@
             self.entry, task=run.task.task_id, run=run.number, percent=percent, fence=self.fence
         )
         if not isinstance(outcome, Stopped):
-            self._forget_pace(run, percent)
+            self._reset_pace(run, percent)
 
-    def _forget_pace(self, run: Run, percent: int) -> None:
+    def _reset_pace(self, run: Run, percent: int) -> None:
         if run.pace == percent:
             # Not known to be in force: the next look at the run's speed orders it again.
             run.pace = -1
--- a/mustardgap/executor_rosters.py
+++ b/mustardgap/executor_rosters.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from .events import EventLog
-from .executor_links import LEASE_S, STARTS_A_SHARD, ExecutorLink
+from .executor_links import LEASE_S, MAX_STARTS_PER_SHARD, ExecutorLink
 from .patience import OrdersUnderWay
 from .ports import Executors
 from .shard_logs import EXECUTOR_KEY
@@ -22,7 +22,7 @@
 AUTHORITY_S = 8.0
 
 # Why an executor is dropped whose machine is certain to have another one.
-OTHER_ANSWERS = "another incarnation answers"
+OTHER_INCARNATION_ANSWERS = "another incarnation answers"
 
 
 class ExecutorRoster:
@@ -41,17 +41,17 @@
         self.entries_by_id: dict[str, ExecutorEntry] = {}
         self.services: frozenset[str] = frozenset()
         # What a former owner used and has not answered this one yet.
-        self.unheard: set[str] = set()
+        self.awaiting_report: set[str] = set()
         # Ordered away; their entries stay on the list of executors for some seconds.
-        self.departed: set[str] = set()
+        self.removed: set[str] = set()
         # Whether the former owner left in good order.
-        self.closed_before = False
-        self._shard = dispatcher
+        self.previous_closed_cleanly = False
+        self._dispatcher = dispatcher
         self._executors = executors
         self._clock = clock
         self._events = events
-        self._starting = asyncio.Semaphore(STARTS_A_SHARD)
-        self._under_way = OrdersUnderWay()
+        self._shard_starts = asyncio.Semaphore(MAX_STARTS_PER_SHARD)
+        self._orders_in_flight = OrdersUnderWay()
         self._link_tasks: dict[str, asyncio.Task[None]] = {}
 
     def close(self) -> None:
@@ -66,7 +66,7 @@
         for entry in self.entries_by_id.values():
             link = self.links_by_executor.get(entry.executor)
             if link is None:
-                if entry.service in self.services and entry.executor not in self.departed:
+                if entry.service in self.services and entry.executor not in self.removed:
                     self.open(entry, inherited=False)
                 continue
             if entry.draining and not link.entry.draining:
@@ -98,44 +98,44 @@
         :param inherited: whether a former owner used it, so that it may run tasks of this shard.
         """
         now = self._clock.monotonic()
-        self._shard.crashes.on_listed(entry)
+        self._dispatcher.crashes.on_listed(entry)
         link = ExecutorLink(
             entry=entry,
-            fence=self._shard.epoch,
+            fence=self._dispatcher.epoch,
             port=self._executors,
-            owner=self._shard,
+            owner=self._dispatcher,
             clock=self._clock,
             events=self._events,
-            starting=self._starting,
-            under_way=self._under_way,
-            lapse_at=now + self._inherited_lease_s,
+            shard_starts=self._shard_starts,
+            orders_in_flight=self._orders_in_flight,
+            inherited_lapse_at=now + self._inherited_lease_s,
         )
         link.listed = not inherited or entry.executor in self.entries_by_id
         self.links_by_executor[entry.executor] = link
         # A successor has to know each executor that may run something. The list of executors may
         # lack one that is cut off, and its tasks would be started a second time.
-        link.durable = self._shard.log.put(
+        link.entry_record = self._dispatcher.log.put(
             EXECUTOR_KEY + entry.executor, msgspec.msgpack.encode(entry)
         )
-        link.durable.outcome.add_done_callback(lambda _: self._shard.wake())
+        link.entry_record.outcome.add_done_callback(lambda _: self._dispatcher.wake())
         if inherited:
-            self.unheard.add(entry.executor)
-        self._link_tasks[entry.executor] = self._shard.spawn(link.run())
+            self.awaiting_report.add(entry.executor)
+        self._link_tasks[entry.executor] = self._dispatcher.spawn(link.run())
 
-    def wait_for(self, executor: ExecutorId) -> None:
+    def await_lease_expiry(self, executor: ExecutorId) -> None:
         """Wait until all leases on an executor of which only the id is known have lapsed."""
-        self.unheard.add(executor)
-        self._shard.spawn(self._hear_lapsed(executor))
+        self.awaiting_report.add(executor)
+        self._dispatcher.spawn(self._wait_until_lapsed(executor))
 
-    async def _hear_lapsed(self, executor: ExecutorId) -> None:
+    async def _wait_until_lapsed(self, executor: ExecutorId) -> None:
         await self._clock.sleep(self._inherited_lease_s)
-        self.heard(executor)
+        self.note_reported(executor)
 
     @property
     def _inherited_lease_s(self) -> float:
         """How long leases that a former owner gave may still last."""
         # An owner that left in good order gives no leases after its last record.
-        return (LEASE_S + (0 if self.closed_before else AUTHORITY_S)) * 1.05
+        return (LEASE_S + (0 if self.previous_closed_cleanly else AUTHORITY_S)) * 1.05
 
     def drop(self, link: ExecutorLink, why: str) -> None:
         """Take an executor for gone, with all that ran on it."""
@@ -145,27 +145,27 @@
         self._events.note(
             "executor.gone", vital=True, executor=executor, why=why, runs=len(link.runs_by_key)
         )
-        self._shard.crashes.on_gone(link, answered=why == OTHER_ANSWERS)
+        self._dispatcher.crashes.on_gone(link, answered=why == OTHER_INCARNATION_ANSWERS)
         for run in list(link.runs_by_key.values()):
             link.remove(run)
-            self._shard.on_lost(link, run, why)
+            self._dispatcher.on_lost(link, run, why)
         link.up = False
         link.close()
         self._link_tasks.pop(executor).cancel()
-        self._shard.log.put(EXECUTOR_KEY + executor, b"")
-        self.heard(executor)
+        self._dispatcher.log.put(EXECUTOR_KEY + executor, b"")
+        self.note_reported(executor)
 
-    def heard(self, executor: str) -> None:
+    def note_reported(self, executor: str) -> None:
         """Note that an executor has told what it runs, or can't run anything any more."""
-        if executor not in self.unheard:
+        if executor not in self.awaiting_report:
             return
-        self.unheard.discard(executor)
-        if self.unheard:
+        self.awaiting_report.discard(executor)
+        if self.awaiting_report:
             return
         freed = 0
-        for job in self._shard.jobs_by_id.values():
+        for job in self._dispatcher.jobs_by_id.values():
             for task in job.tasks():
                 freed += task.inherited
                 task.inherited = False
-        self._events.note("shard.audited", vital=True, shard=self._shard.shard, waiting=freed)
-        self._shard.wake()
+        self._events.note("shard.audited", vital=True, shard=self._dispatcher.shard, waiting=freed)
+        self._dispatcher.wake()
--- a/mustardgap/placing.py
+++ b/mustardgap/placing.py
@@ -143,8 +143,8 @@
         and not link.closing
         and not link.entry.draining
         and link.entry.readable
-        and link.durable is not None
-        and link.durable.durable
+        and link.entry_record is not None
+        and link.entry_record.durable
         and link.entry.service == service
         and (not step.requires or step.requires in link.entry.labels)
     )
@@ -234,7 +234,7 @@
     # task that can still afford a failure, until one succeeds; so a sick one costs a job at most
     # one of its attempts, and a healthy one that met a bad job is back after one success. Where all
     # have failed something, tasks that failed would wait for ever; so distrust ends by itself.
-    if not link.failures_in_a_row or now - link.failed_at > DISTRUST_S:
+    if not link.consecutive_failures or now - link.failed_at > DISTRUST_S:
         return True
     return not link.runs_by_key and not task.failures
 
@@ -291,7 +291,7 @@
             for link in links
             if free[link.entry.executor].holds(step.room)
             and (not step.anti_affinity or counts[link.entry.executor] < step.anti_affinity)
-            and not link.failures_in_a_row
+            and not link.consecutive_failures
         ]
         if not fitting:
             return None
--- a/mustardgap/pool_views.py
+++ b/mustardgap/pool_views.py
@@ -123,7 +123,7 @@
                 used_cpu=link.used.cpu,
                 short_runs=len(runs) - lasting,
                 lasting_runs=lasting,
-                settled=link.up and link.listed and link.audited,
+                settled=link.up and link.listed and link.has_reported,
                 draining=link.entry.draining,
                 machine=link.entry.machine,
             )
--- a/mustardgap/suspicions.py
+++ b/mustardgap/suspicions.py
@@ -48,7 +48,7 @@
     def on_end(self, link: ExecutorLink, task: Task, how: EndKind, run: Run | None) -> None:
         """Take in how a run ended on an executor."""
         if how is EndKind.DONE:
-            link.failures_in_a_row = 0
+            link.consecutive_failures = 0
             link.failed_jobs.clear()
             if run is not None and not self._was_slow(run):
                 link.slow_marks = 0
@@ -62,7 +62,7 @@
             return
         if not self._policy.has(Mechanism.DISTRUST):
             return
-        link.failures_in_a_row += 1
+        link.consecutive_failures += 1
         link.failed_at = self._clock.monotonic()
         link.failed_jobs.add(task.task_id.job)
         if len(link.failed_jobs) >= FAILED_JOBS:
@@ -85,7 +85,10 @@
                 continue
             if run.began_s is None:
                 continue
-            if run.link.seen_s - run.moved_s > STALL_S + STALL_OF_ESTIMATE * step.estimate_s:
+            if (
+                run.link.report_clock_s - run.moved_s
+                > STALL_S + STALL_OF_ESTIMATE * step.estimate_s
+            ):
                 self._stalled(run)
             elif self._is_slow(run, run.moved_s - run.began_s):
                 self._slow(run)
@@ -94,7 +97,7 @@
         link = run.link
         link.slow_marks += 1
         run.task.avoided.add(link.entry.executor)
-        link.end(run, "stands still")
+        link.stop_run(run, "stands still")
         if link.slow_marks >= STALLS:
             self._pause(link, PAUSE_S, "runs stand still")
 
@@ -116,7 +119,7 @@
     def _was_slow(self, run: Run) -> bool:
         if run.began_s is None or run.task.checkpoint:
             return False
-        ran_s = run.link.seen_s - run.began_s
+        ran_s = run.link.report_clock_s - run.began_s
         return ran_s >= SLOW_AFTER_S and run.task.step.estimate_s < SLOW_SHARE * ran_s
 
     def _pause(self, link: ExecutorLink, pause_s: float, why: str) -> None:
@@ -130,5 +133,5 @@
             executor=link.entry.executor,
             why=why,
             pause_s=pause_s,
-            failures=link.failures_in_a_row,
+            failures=link.consecutive_failures,
         )
--- a/mustardgap/task_starters.py
+++ b/mustardgap/task_starters.py
@@ -173,7 +173,7 @@
         """The executors with a ticket for a task's step; tickets that lack are asked for."""
         key = StepKey.of(task_id)
         best = sorted(links, key=lambda link: -link.free.cpu)
-        self._shard.advices.want(key, [link.entry.executor for link in best], policy)
+        self._shard.advices.request(key, [link.entry.executor for link in best], policy)
         return [link for link in links if self._shard.advices.ticket(key, link.entry.executor)]
 
     def _place_gang(self, job: Job, tasks: list[Task], links: list[ExecutorLink]) -> None:
@@ -206,7 +206,7 @@
         )
         metrics.placement_wait.record(max(waited_s, 0.0))
         ticket = self._shard.advices.ticket(StepKey.of(task.task_id), link.entry.executor) or ""
-        link.begin(run, payload=job.spec.payload, ticket=ticket)
+        link.start_run(run, payload=job.spec.payload, ticket=ticket)
 
     def _next_run(self) -> int:
         self._run_count += 1
--- a/tools/bench_placing.py
+++ b/tools/bench_placing.py
@@ -113,19 +113,19 @@
         owner=nothing,
         clock=clock,
         events=EventLog(host="bench", clock=clock),
-        starting=asyncio.Semaphore(),
-        under_way=nothing,
-        lapse_at=0.0,
+        shard_starts=asyncio.Semaphore(),
+        orders_in_flight=nothing,
+        inherited_lapse_at=0.0,
     )
     link.up = True
-    link.durable = stored
+    link.entry_record = stored
     return link
 
 
 class _Link(ExecutorLink):
     """A link that sends nothing."""
 
-    def begin(self, run: Any, *, payload: str, ticket: str) -> None:
+    def start_run(self, run: Any, *, payload: str, ticket: str) -> None:
         self.add(run)
 
 
