--- a/mustardgap/advices.py
+++ b/mustardgap/advices.py
@@ -1,4 +1,4 @@
-"""Tickets for queues whose policy says which executors may run a step."""
+"""Tickets for queues whose policy restricts which executors may run a step."""
 
 import asyncio
 from collections.abc import Sequence
@@ -9,10 +9,10 @@
 from .timers import Clock
 from .workloads import AdvicePolicy, ExecutorId, TaskId
 
-# A ticket that is about to end would be refused by the time the start arrives.
+# A ticket that expires sooner than this isn't used, as it could expire before the start arrives.
 EXPIRY_MARGIN_S = 0.15
 RETRY_S = 0.2
-# A call takes the service some time for each executor named; more than these are seldom needed.
+# The advice service needs time for each executor of a call, and few steps need more executors.
 MAX_EXECUTORS_PER_CALL = 16
 
 
@@ -25,7 +25,7 @@
 
     @classmethod
     def of(cls, task_id: TaskId) -> "StepKey":
-        """The step that a task belongs to."""
+        """The key of the step that a task belongs to."""
         return cls(task_id.job, task_id.occurrence, task_id.step)
 
 
@@ -41,14 +41,14 @@
 
 
 class AdviceTicketCache:
-    """Asks for tickets, one call at a time, and keeps them while they hold.
+    """Requests tickets from the advice service, one call at a time, and caches valid ones.
 
-    The service handles the calls of a host in turn and refuses when too many wait, so a second call
-    at once would only wait there.
+    The service processes the calls of one host in sequence and refuses calls if too many are
+    queued, so concurrent calls would gain nothing.
 
-    :param advice: the service.
+    :param advice: the advice service.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the event log of this process.
     """
 
     def __init__(self, *, advice: Advice, clock: Clock, events: EventLog) -> None:
@@ -56,23 +56,23 @@
         self._clock = clock
         self._events = events
         self._tickets_by_step: dict[StepKey, dict[ExecutorId, _Ticket]] = {}
-        # What a policy allows for a step doesn't change.
+        # Kept until the job ends, as a policy's decision for a step doesn't change.
         self._denied_by_step: dict[StepKey, set[ExecutorId]] = {}
         self._requests_by_step: dict[StepKey, _TicketRequest] = {}
         self._wake = asyncio.Event()
         self.granted = asyncio.Event()
 
     def ticket(self, key: StepKey, executor: ExecutorId) -> str | None:
-        """A ticket that holds, None if there is none."""
+        """A valid ticket for an executor, None if there is none."""
         found = self._tickets_by_step.get(key, {}).get(executor)
         if found is None or self._clock.monotonic() > found.expires_at - EXPIRY_MARGIN_S:
             return None
         return found.text
 
     def request(self, key: StepKey, executors: Sequence[ExecutorId], policy: AdvicePolicy) -> None:
-        """Have tickets asked for, for executors that aren't known to be denied or granted.
+        """Request tickets for those executors that have neither a valid ticket nor been denied.
 
-        :param executors: the best ones first.
+        :param executors: the executors by preference, best first.
         """
         denied = self._denied_by_step.get(key, set())
         unknown = [e for e in executors if e not in denied and self.ticket(key, e) is None]
@@ -83,17 +83,17 @@
             self._wake.set()
 
     def drop(self, key: StepKey, executor: ExecutorId) -> None:
-        """Forget a ticket that an executor didn't take."""
+        """Discard a ticket that an executor refused."""
         self._tickets_by_step.get(key, {}).pop(executor, None)
 
     def forget(self, job: str) -> None:
-        """Forget all that is known of a job that has ended."""
+        """Discard all tickets, denials and requests of a job that has ended."""
         for table in (self._tickets_by_step, self._denied_by_step, self._requests_by_step):
             for key in [key for key in table if key.job == job]:
                 del table[key]  # type: ignore[attr-defined]
 
     async def run(self) -> None:
-        """Ask for what is wanted until cancelled."""
+        """Process requests until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -112,7 +112,8 @@
             )
             await self._clock.sleep(RETRY_S)
             return
-        # The time runs from before the answer, so it ends here no later than at the executor.
+        # Validity is counted from before the call, so that a ticket expires here no later than at the
+        # executor.
         expires_at = asked_at + (outcome.valid_s or request.policy.valid_s)
         tickets = self._tickets_by_step.setdefault(request.key, {})
         for executor, text in outcome.tickets_by_executor.items():
--- a/mustardgap/cancellations.py
+++ b/mustardgap/cancellations.py
@@ -1,7 +1,8 @@
-"""Tells a task's own cancellation from one that came out of something it awaited.
+"""Distinguishes the cancellation of a task from that of something it awaited.
 
-Closing a gRPC channel cancels all calls on it, and whoever awaits one of them gets a CancelledError
-although nobody cancelled that task. Taken for an end in order, the work is missing from then on.
+Closing a gRPC channel cancels all calls on it, and a task that awaits one of them gets a
+CancelledError although the task itself wasn't cancelled. If that is treated as a requested stop,
+the task ends silently and its work is no longer done.
 """
 
 import asyncio
@@ -12,10 +13,10 @@
 
 
 class StrayCancellation(Exception):
-    """Something that a task awaited was cancelled; nobody cancelled the task itself."""
+    """Something that a task awaited was cancelled, but not the task itself."""
 
     def __init__(self, *, what: str) -> None:
-        super().__init__(f"{what} ended by a cancellation that nobody asked for")
+        super().__init__(f"{what} ended by the cancellation of something that it awaited")
 
 
 def is_own() -> bool:
@@ -25,11 +26,11 @@
 
 
 async def run_part(part: Callable[[], Awaitable[object]]) -> None:
-    """Run a part of a task, and pass on only cancellations of the task itself.
+    """Run a part of a task, and propagate only cancellations of the task itself.
 
-    The part gets a task of its own: ``asyncio.TaskGroup`` cancels the task that it fails in, and
-    that one counts as cancelled ever after. One that runs the part again wouldn't tell a stray
-    cancellation any more.
+    The part runs in a task of its own, because ``asyncio.TaskGroup`` cancels its parent task on a
+    failure and ``cancelling()`` of that task stays above 0. A parent that reran the part could no
+    longer recognise stray cancellations.
 
     :param part: a function without arguments that returns an awaitable.
     :raises StrayCancellation: the part ended by the cancellation of something that it awaited.
@@ -42,7 +43,7 @@
         task.cancel()
         await asyncio.wait([task])
         if not task.cancelled() and task.exception() is not None:
-            logging.exception("%s failed as it was stopped", name, exc_info=task.exception())
+            logging.exception("%s failed while being cancelled", name, exc_info=task.exception())
         raise
     if task.cancelled():
         raise StrayCancellation(what=name)
@@ -50,7 +51,7 @@
 
 
 def failure_of(task: "asyncio.Task[Any]") -> BaseException | None:
-    """Why a task that has ended failed, None if it returned or was told to end."""
+    """The failure of a task that has ended, None if it returned or was cancelled itself."""
     if not task.cancelled():
         return task.exception()
     if task.cancelling() > 0:
@@ -59,13 +60,13 @@
 
 
 async def why_not_ended(task: "asyncio.Task[Any]", *, timeout_s: float) -> str:
-    """Wait for a task that was told to end, or is about to.
+    """Wait for a task that was cancelled, or is about to end.
 
-    :param timeout_s: seconds to wait.
-    :return: why it hasn't ended in order, "" if it has.
+    :param timeout_s: how long to wait, in seconds.
+    :return: the failure of the task or that it is still running, "" if it ended without a failure.
     """
     await asyncio.wait([task], timeout=timeout_s)
     if not task.done():
-        return f"it goes on after {timeout_s:.1f} s"
+        return f"still running after {timeout_s:.1f} s"
     failure = failure_of(task)
     return repr(failure) if failure is not None else ""
--- a/mustardgap/evacuations.py
+++ b/mustardgap/evacuations.py
@@ -1,4 +1,4 @@
-"""Moves lasting tasks off executors that leave, within what their steps may miss."""
+"""Moves tasks off executors that are drained or emptied, within the limits of their steps."""
 
 from typing import TYPE_CHECKING
 
@@ -10,32 +10,33 @@
 if TYPE_CHECKING:
     from .dispatchers import Dispatcher
 
-# At work, a lasting task reports this share.
+# The progress that a lasting task reports while it serves.
 AT_WORK_PERCENT = 100
-# A run that would end within this time is left to end on an executor that is being emptied.
+# A run that is expected to end within this time is left to finish on an executor being emptied.
 LET_FINISH_S = 3.0
-# Beyond the platform's bound for a stop: the order's way, and a look at most a second old.
+# Added to the platform's stop timeout: the delay of the order, and the age of the last report, at
+# most 1 s.
 STOP_SLACK_S = 1.2
-# Why a run is stopped that has to make room; such a stop needs leave each time it is sent.
+# The reason for stopping a run to empty its executor. Each attempt of such a stop is checked again.
 EVACUATED = "evacuated"
 
 
 class Evacuations:
-    """Empties executors that the fleet's owner wants, or that drain.
+    """Empties executors whose machines the fleet's owner needs, and draining ones.
 
     :param dispatcher: the owner of the tasks.
-    :param stop_timeout_s: how long a stop takes at the most.
+    :param stop_timeout_s: the longest time that a stop takes, in seconds.
     """
 
     def __init__(self, *, dispatcher: "Dispatcher", stop_timeout_s: float) -> None:
         self.planned: frozenset[str] = frozenset()
-        # Services with a lasting task that has to move and finds no room.
+        # Services with a lasting task that has to move and fits on no other executor.
         self.cramped: set[str] = set()
         self._dispatcher = dispatcher
         self._stop_effect_s = stop_timeout_s + STOP_SLACK_S
 
     def look(self, now: float) -> None:
-        """Stop what may be stopped now on executors that leave."""
+        """Stop the runs that may be stopped now on executors being emptied."""
         self.cramped.clear()
         for link in list(self._dispatcher.roster.links_by_executor.values()):
             if not (link.closing or link.entry.draining) or not link.up:
@@ -45,22 +46,22 @@
                     link.stop_run(run, "draining" if link.entry.draining else EVACUATED)
 
     def may_stop(self, run: Run, now: float) -> bool:
-        """Whether a stop may be sent, for the first time or again, by what is away now.
+        """Whether a stop may be sent, for the first time or again, given the tasks unavailable now.
 
-        A stop that got no answer is sent again. If another executor is lost meanwhile, that would
-        end one more task than the step may miss, though there was leave for the first try. So
-        before a repeat only those count as at work whose executors have reported since that try.
+        A stop that got no answer is repeated. If another executor fails meanwhile, the repeat would
+        stop one more task than the step may miss, although the first attempt was allowed. So before
+        a repeat, only tasks whose executors have reported since the last attempt count as at work.
         """
         if not run.task.step.lasting or run.link.entry.draining:
             return True
         if run.why_stopped != EVACUATED:
-            # Its start got no answer, and the stop is to settle whether it is there.
+            # The start got no answer; the stop settles whether the run exists.
             if run.percent < AT_WORK_PERCENT:
                 return True
-            run.link.cancel_stop(run, "it is at work")
+            run.link.cancel_stop(run, "the run is at work")
             return False
         if not run.link.closing:
-            run.link.cancel_stop(run, "its machine is kept")
+            run.link.cancel_stop(run, "its machine is no longer emptied")
             return False
         siblings = self._dispatcher.job_of(run.task.task_id).siblings(run.task)
         return self._may_miss_one(run.task, siblings, now, reported_since=run.unanswered_at)
@@ -78,21 +79,23 @@
     def _may_miss_one(
         self, task: Task, siblings: list[Task], now: float, reported_since: float = float("-inf")
     ) -> bool:
-        """Whether one more task of the step may be away, counting those that are for any cause."""
+        """Whether one more task may be unavailable, counting those unavailable for any reason."""
         others = [other for other in siblings if other is not task]
         away = sum(1 for other in others if not self.is_at_work(other, now, reported_since))
         allowed = task.step.may_miss
-        # Without a promise they are moved one at a time all the same.
+        # Tasks of a step that declares no bound are also moved one at a time.
         return away < (allowed if allowed is not None else 1)
 
     def is_at_work(self, task: Task, now: float, reported_since: float = float("-inf")) -> bool:
-        """Whether a lasting task serves its users now, as far as is known.
+        """Whether a lasting task is known to serve its users now.
 
-        A run that was adopted from a former owner may be on its way to a stop which that owner
-        ordered, or one whose stop got no answer: it is listed at work until the stop takes effect,
-        and another task would be stopped beside it. After what a stop takes it would have ended.
+        A run adopted from a former owner may already have been ordered to stop by that owner, and a
+        stop without an answer may still take effect. Either run is reported at work until then, and
+        a further task would be stopped at the same time. So a run counts only after the time within
+        which such a stop would have ended it.
 
-        :param reported_since: steady time since which its executor has to have reported.
+        :param now: monotonic time in seconds.
+        :param reported_since: monotonic time in seconds; the executor must have reported since.
         """
         run = task.run
         return (
--- a/mustardgap/executor_clocks.py
+++ b/mustardgap/executor_clocks.py
@@ -1,13 +1,14 @@
-"""Bounds on an executor's clock, and on when its lease has surely lapsed."""
+"""Bounds on an executor's clock, and on the time by which its lease has lapsed."""
 
-# An executor's steady clock may be this much slower than ours; the platform's page says so.
+# The maximum relative rate by which an executor's monotonic clock may be slower than the local one,
+# as the platform's documentation states it.
 CLOCK_DRIFT = 0.02
-# Beside drift: the executor's own time to kill what it runs, and our own late timers.
+# Added to the drift: the time an executor needs to kill its runs, and delays of local timers.
 LAPSE_SLACK_S = 0.25
 
 
 class ExecutorClock:
-    """What is known of an executor's clock from its answers."""
+    """Estimates an executor's clock from its answers and tracks the leases granted to it."""
 
     def __init__(self) -> None:
         self._clock_ms = 0
@@ -16,30 +17,36 @@
 
     @property
     def seen(self) -> bool:
-        """Whether the executor has answered once."""
+        """Whether the executor has answered at least once."""
         return self._seen_at is not None
 
     def observe(self, clock_ms: int, *, now: float) -> None:
-        """Take in the clock that an answer carried.
+        """Record the clock value of an answer.
 
-        :param now: our steady time when the answer came, in seconds.
+        :param clock_ms: the executor's clock in the answer.
+        :param now: local monotonic time at which the answer arrived, in seconds.
         """
         if clock_ms >= self._clock_ms:
             self._clock_ms = clock_ms
             self._seen_at = now
 
     def deadline_ms(self, after_s: float, *, now: float) -> int | None:
-        """The executor's time in ``lease_s`` seconds, in ms; None before its first answer."""
+        """The executor's clock at a later time.
+
+        :param after_s: how much later, in seconds.
+        :param now: local monotonic time, in seconds.
+        :return: the executor's time in ms, None before its first answer.
+        """
         if self._seen_at is None:
             return None
         return int(self._clock_ms + (now - self._seen_at + after_s) * 1000)
 
     def note_granted(self, until_ms: int) -> None:
-        """Note that a lease until this time may have reached the executor."""
+        """Note that a lease until this executor time may have reached the executor."""
         self._granted_ms = max(self._granted_ms, until_ms)
 
     def lapsed_at(self) -> float | None:
-        """Our steady time at which every lease that we gave has lapsed; None before an answer."""
+        """Local monotonic time by which all granted leases have lapsed; None before an answer."""
         if self._seen_at is None:
             return None
         left_s = max(self._granted_ms - self._clock_ms, 0) / 1000
--- a/mustardgap/executor_links.py
+++ b/mustardgap/executor_links.py
@@ -1,4 +1,4 @@
-"""One owner's link to one executor: leases, starts, stops, and what the executor reports."""
+"""A shard owner's connection to one executor: leases, starts, stops and reports."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -24,93 +24,104 @@
 from .timers import Clock
 from .workloads import EndRow, ExecutorEntry, Report, Room, RunRow, TaskId
 
-# How long what runs goes on without hearing from its owner. It outlasts a takeover (some 2 s), and
-# what ran on a crashed executor is started elsewhere after little more than this.
+# How long runs continue without a lease renewal. The lease has to outlast a takeover of the shard
+# (about 2 s); tasks of a crashed executor are restarted elsewhere shortly after it lapses.
 LEASE_S = 3.5
-# A start that is carried out later than this is turned down by the executor; orders that executors
-# hold back arrive 2 s late or more.
+# An executor refuses a start order that it processes later than this. Orders that executors delay
+# are processed at least 2 s late.
 START_VALIDITY_S = 1.5
 MAX_START_ATTEMPTS = 3
-# Starts that one executor, and all of a shard, may have under way at once; others wait their turn,
-# and only then does their time run. Sent all at once, the last ones of a burst went out later than
-# an answer is waited for, were taken for lost, repeated and stopped: an owner with half a core got
-# no answer 6,991 times in 45 s. Two racks of 8 executors that answer nothing hold half of the 64.
+# Limits on concurrent start orders, per executor and per shard. Further starts queue, and their
+# validity begins only when they are sent. Without the limits, the last orders of a burst went out
+# after their answer timeout, so they counted as lost and were repeated and stopped: an owner with
+# half a core counted 6,991 missing answers in 45 s. Two racks of 8 unresponsive executors occupy
+# half of the 64.
 MAX_STARTS_PER_EXECUTOR, MAX_STARTS_PER_SHARD = 4, 64
-# How long a look waits for an end where only lasting tasks run, or none. A connection that went
-# silent is noticed after this and the patience for an answer, well before the lease lapses.
+# How long a poll waits at the executor for a run to end, if only lasting tasks run there or none. A
+# connection that went silent is noticed after this time plus the answer timeout, well before the
+# lease lapses.
 IDLE_POLL_WAIT_S = 1.0
-# The same where tasks run that end by themselves: a look whose answer is lost hides their ends for
-# as long, and a job of many tasks waits for each.
+# How long a poll waits if any run there ends by itself. A poll whose answer is lost hides ended
+# runs for this long, and a job of many tasks waits for all of them.
 BUSY_POLL_WAIT_S = 0.3
-# The same where a task runs of which it has to be seen whether it crashes its executor.
+# How long a poll waits while a task runs that is suspected of crashing its executor.
 TRIAL_POLL_WAIT_S = 0.1
-# The pause between looks at an executor that doesn't answer, and between repeated orders.
+# The pause between polls of an executor that doesn't answer, and between repeated orders.
 RETRY_S = 0.15
-# How long a look's successor waits for the ends to be durable, so that it can acknowledge them: a
-# few times what the store takes. A slow store takes longer than the ends that come next may wait.
+# How long a poll is delayed until the ends of the previous report are stored and can be
+# acknowledged: a few times a normal append. If the store is slower, the poll is sent without the
+# acknowledgement, as waiting longer would delay the ends that come next.
 ACKNOWLEDGE_WAIT_S = 0.05
-# An executor that lists ends that aren't acknowledged answers at once; it is asked this often.
+# The pause between polls of a busy executor while ends are unacknowledged, as it then answers
+# without waiting.
 BACKLOG_POLL_S = 0.06
-# An executor lists this many ends at once at the most.
+# The maximum number of ended runs in one report.
 MAX_LISTED_ENDS = 500
 NO_RESOURCES = Room()
 
 
 class LinkOwner(Protocol):
-    """What a link tells its owner."""
+    """Callbacks from a link to the owner of its shard."""
 
     def on_end(self, link: "ExecutorLink", end: EndRow, run: Run | None) -> Ticket | None:
-        """A run has ended; the ticket, if any, must be durable before it is acknowledged."""
+        """Handle the end of a run.
+
+        :return: the ticket that has to be durable before the end is acknowledged, None for none.
+        """
 
     def room_of(self, task_id: TaskId) -> Room | None:
-        """What a task takes of its executor's capacity; None if the task isn't known."""
+        """The share of its executor's capacity that a task uses; None if the task is unknown."""
 
     def on_unknown_row(self, link: "ExecutorLink", row: RunRow) -> Run | None:
-        """A run is there that wasn't started by this owner; it is stopped unless adopted."""
+        """Handle a run that this owner didn't start.
+
+        :return: the adopted run, None if it isn't adopted and has to be stopped.
+        """
 
     def on_lost(self, link: "ExecutorLink", run: Run, why: str) -> None:
-        """A run is certainly not there any more, and no end of it will come."""
+        """A run no longer exists on its executor, and its end won't be reported."""
 
     def on_refused(self, link: "ExecutorLink", run: Run, why: str) -> None:
-        """A start was turned down."""
+        """A start was refused."""
 
     def on_report(self, link: "ExecutorLink") -> None:
-        """The executor has answered, and the link is up to date."""
+        """The executor has answered, and its report has been applied."""
 
     def on_lapsed(self, link: "ExecutorLink") -> None:
-        """The executor was silent until all leases have lapsed."""
+        """The executor didn't answer until all of its leases had lapsed."""
 
     def on_gone(self, link: "ExecutorLink") -> None:
-        """The executor is gone for good."""
+        """Another executor answers at the address: this one no longer exists."""
 
     def on_closed(self, link: "ExecutorLink") -> None:
-        """The executor has closed its connections, and doesn't answer."""
+        """The executor closed its connections and doesn't answer."""
 
     def on_at_work(self, run: Run) -> None:
-        """A run is seen at work for the first time."""
+        """A run is reported at work for the first time."""
 
     def on_fenced(self, link: "ExecutorLink") -> None:
-        """The executor obeys a later owner."""
+        """The executor rejects this owner, as it knows a higher fencing token."""
 
     def authority_s(self) -> float:
-        """For how many more seconds leases may be given."""
+        """For how many more seconds this owner may grant leases."""
 
     def may_stop(self, run: Run) -> bool:
-        """Whether a run that is to be stopped may be stopped at this moment."""
+        """Whether a stop of a run may be sent now."""
 
 
 class ExecutorLink:
-    """Keeps one executor's lease, and its reports up to date.
+    """Renews one executor's lease and applies its reports.
 
     :param entry: the executor.
     :param fence: the owner's fencing token.
-    :param port: sends orders.
-    :param owner: is told what happens.
+    :param port: sends orders to executors.
+    :param owner: receives the link's callbacks.
     :param clock: the clocks to read.
-    :param events: the process's log.
-    :param shard_starts: limits the starts that the shard has under way.
-    :param orders_in_flight: counts them.
-    :param inherited_lapse_at: steady time at which leases of former owners have surely lapsed.
+    :param events: the event log of this process.
+    :param shard_starts: limits the concurrent start orders of the shard.
+    :param orders_in_flight: counts the unanswered start orders of the shard.
+    :param inherited_lapse_at: monotonic time in seconds by which all leases of former owners have
+        lapsed.
     """
 
     def __init__(
@@ -133,18 +144,18 @@
         self.lapsed = False
         self.listed = True
         self.missing_since: float | None = None
-        # Set while the fleet's owner empties the machine.
+        # Set while the fleet's owner wants the machine emptied.
         self.closing = False
-        # Set while the executor is kept for tasks that may crash it, and what was last started
-        # there of these.
+        # Whether the executor is reserved for tasks suspected of crashing their executors.
         self.reserved = False
+        # The last suspected run that was started here.
         self.trial: Run | None = None
-        # Whether its capacity is known well enough to start more.
+        # Whether the known capacity is recent enough to start more runs.
         self.room_known = True
         self.entry_record: Ticket | None = None
         self.runs_by_key: dict[tuple[Any, int], Run] = {}
         self.used = Room()
-        # What runs there that isn't this owner's, by the last report; None if its size isn't known.
+        # Resources used by runs of other owners in the last report; None if unknown.
         self.foreign: Room | None = NO_RESOURCES
         self.lasting_runs = 0
         self.pause_until = 0.0
@@ -153,9 +164,9 @@
         self.failed_jobs: set[str] = set()
         self.slow_marks = 0
         self.slow_jobs: set[str] = set()
-        # The time of the executor's steady clock that its last report tells of.
+        # The executor's monotonic clock in the last report, in seconds.
         self.report_clock_s = 0.0
-        # Steady time at which its last report came.
+        # This process's monotonic time when the last report arrived.
         self.last_report_at = float("-inf")
         self._port = port
         self._owner = owner
@@ -168,7 +179,7 @@
         self._inherited_lapse_at = inherited_lapse_at
         self._silent = False
         self._patience = Patience()
-        # Whether the last look got no answer, and may still arrive.
+        # Whether the last poll got no answer, so that it may still reach the executor.
         self._poll_unanswered = False
         self._acknowledged_number = 0
         self._last_end_number = 0
@@ -179,7 +190,7 @@
 
     @property
     def on_trial(self) -> bool:
-        """Whether nothing may be started beside what was last started here, which may crash it."""
+        """Whether a suspected run is being observed, so that nothing may be started beside it."""
         run = self.trial
         if run is None or (run.task.task_id, run.number) not in self.runs_by_key:
             return False
@@ -191,11 +202,11 @@
 
     @property
     def free(self) -> Room:
-        """What is left of the executor's capacity."""
+        """The unused capacity of the executor."""
         return self.entry.capacity.minus(self.used).minus(self.foreign or NO_RESOURCES)
 
     def holds(self, room: Room) -> bool:
-        """Whether an amount fits into what is left of the capacity."""
+        """Whether an amount of resources fits into the unused capacity."""
         if self.foreign is None:
             return False
         capacity, used = self.entry.capacity, self.used
@@ -208,24 +219,24 @@
         )
 
     def add(self, run: Run) -> None:
-        """Count a run against the capacity."""
+        """Reserve capacity for a run."""
         self.runs_by_key[run.task.task_id, run.number] = run
         self.used = self.used.plus(run.task.step.room)
         self.lasting_runs += run.task.step.lasting
 
     def remove(self, run: Run) -> None:
-        """Give a run's part of the capacity back."""
+        """Release the capacity of a run."""
         if self.runs_by_key.pop((run.task.task_id, run.number), None) is not None:
             self.used = self.used.minus(run.task.step.room)
             self.lasting_runs -= run.task.step.lasting
 
     def start_run(self, run: Run, *, payload: str, ticket: str) -> None:
-        """Start a run; what becomes of it is told to the owner."""
+        """Start a run; the outcome is reported to the owner."""
         self.add(run)
         self._spawn(self._start(run, payload, ticket), lambda: self._settle_failed_start(run))
 
     def stop_run(self, run: Run, why: str) -> None:
-        """Stop a run; its end is told to the owner."""
+        """Stop a run; its end is reported to the owner."""
         if run.phase is RunPhase.STOPPING:
             return
         run.phase = RunPhase.STOPPING
@@ -241,7 +252,7 @@
         self._order_stop(run.task.task_id, run.number, run)
 
     def cancel_stop(self, run: Run, why: str) -> None:
-        """Send no stop of a run any more."""
+        """Withdraw the stop of a run, so that it isn't sent again."""
         run.phase = RunPhase.RUNNING
         self._events.note(
             "run.kept",
@@ -253,18 +264,21 @@
         )
 
     def pace(self, run: Run, percent: int) -> None:
-        """Let a run work at a share of its speed."""
+        """Set the speed of a run.
+
+        :param percent: the share of its full speed.
+        """
         run.pace = percent
         self._spawn(self._pace(run, percent), lambda: self._reset_pace(run, percent))
 
     def close(self) -> None:
-        """End all orders that are under way."""
+        """Cancel all orders in flight."""
         self._closed = True
         for task in list(self._tasks):
             task.cancel()
 
     async def run(self) -> None:
-        """Hold the lease and take in reports until the executor is gone, or cancelled."""
+        """Renew the lease and apply reports until cancelled, fenced off or the executor is gone."""
         while True:
             outcome = await self._poll()
             if isinstance(outcome, Fenced | OtherIncarnation):
@@ -278,10 +292,13 @@
             await self._clock.sleep(RETRY_S)
 
     def _note_unanswered_poll(self) -> bool:
-        """Whether one more look without an answer says something of the executor.
+        """Extend the answer timeout after a poll that got no answer.
 
-        Some of an executor's answers may be lost, or its orders be held up. Given a long time each,
-        looks showed ends 1.6 s late, and executors that were well got nothing new for as long.
+        Single answers may be lost and single orders delayed, so polls are repeated after a short
+        timeout first. With a fixed long timeout, ends were seen 1.6 s late and healthy executors
+        got no new runs meanwhile.
+
+        :return: whether the executor now counts as silent: the poll had the longest timeout.
         """
         is_silent = self._silent or self._patience.is_over
         self._poll_unanswered = True
@@ -307,17 +324,17 @@
         )
         if isinstance(outcome, Report):
             self._poll_unanswered = False
-            # An answer that came before the wait was over, as something ended, counts as prompt.
+            # An answer that came early, because a run ended, counts as immediate.
             self._patience.note_answered(max(self._clock.monotonic() - sent_at - wait_s, 0.0))
             self._apply_report(outcome, sent_at)
             if has_backlog:
-                # The store takes no ends just now; they stay with the executor until it does.
+                # The store isn't accepting records; the executor keeps the ends until it does.
                 await self._clock.sleep(BACKLOG_POLL_S if self._is_busy else RETRY_S)
         return outcome
 
     @property
     def _is_busy(self) -> bool:
-        """Whether tasks run there that end by themselves."""
+        """Whether any run on the executor ends by itself."""
         return len(self.runs_by_key) > self.lasting_runs
 
     @property
@@ -327,11 +344,13 @@
         return BUSY_POLL_WAIT_S if self._is_busy else IDLE_POLL_WAIT_S
 
     def _lease_until_ms(self, now: float) -> int | None:
-        """The lease to ask for.
+        """The lease to request, or None to request no extension.
+
+        A poll without an answer may arrive late and still extend the lease. If each repetition
+        requested an extension, the lease of an unresponsive executor could never be known to have
+        lapsed and its tasks could never be restarted elsewhere. So only the first poll does.
 
-        A look that gets no answer may arrive late and still extend the lease. If each repetition
-        asked for more, the lease of an executor that answers nothing would never surely lapse and
-        what it ran could never be started elsewhere; so repetitions ask for nothing.
+        :return: the end of the lease by the executor's clock, in ms.
         """
         lease_s = min(LEASE_S, self._owner.authority_s())
         if self._silent or self._poll_unanswered or lease_s <= 0:
@@ -421,10 +440,13 @@
         run.load = row.load
 
     def _sum_foreign(self, report: Report) -> Room | None:
-        """What is listed and isn't this owner's: it takes room until its end is listed.
+        """The resources of reported runs that aren't this owner's.
+
+        They are in use until their end is reported: a new owner stops the tasks of ended jobs,
+        which takes up to the stop timeout. If they weren't counted, new tasks would be started into
+        their capacity at once.
 
-        A successor has the tasks of jobs that are over stopped, which takes as long as a stop may.
-        Not counted, others would be started into their room at once.
+        :return: the sum, None if the size of one is unknown.
         """
         room = NO_RESOURCES
         for row in report.running:
@@ -497,7 +519,7 @@
         for _ in range(MAX_START_ATTEMPTS):
             async with self._executor_starts, self._shard_starts:
                 if (task.task_id, run.number) not in self.runs_by_key:
-                    # Given up while it waited: its task may run elsewhere by now.
+                    # The run was dropped while it was queued; its task may run elsewhere by now.
                     return
                 if run.phase is not RunPhase.STARTING:
                     return
@@ -516,8 +538,9 @@
                 return
             if isinstance(outcome, StartRefused | Refused):
                 if unanswered:
-                    # An earlier try may have been carried out, and the run have ended since: an
-                    # executor turns the repeat down as old, and the task would be run again.
+                    # An earlier attempt may have started the run, which may have ended since. The
+                    # executor then refuses the repeat as old; treated as refused, the task would
+                    # run twice.
                     break
                 self._handle_refusal(run, outcome)
                 return
@@ -535,18 +558,18 @@
                 executor=self.entry.executor,
                 why=outcome.detail,
             )
-        # Nobody can tell whether it runs. A stop that is answered settles it: either the end is
-        # listed, or the start is turned down when it arrives.
+        # It is unknown whether the run exists. An answered stop settles it: either its end is
+        # reported, or the start is refused when it arrives.
         self.stop_run(run, "start unanswered")
 
     def _reason_not_to_send(self) -> str:
-        """Why a start whose turn has come had better not be sent; empty if it may be."""
+        """The reason not to send a start whose turn has come; empty if it may be sent."""
         if self._silent:
-            # It certainly didn't happen, so its task needn't wait for the lease to lapse; and each
-            # try would stretch the time for which the lease may last.
+            # An unsent start can't have happened, so its task needn't wait for the lease to lapse.
+            # Each attempt would also extend the time by which the lease is known to have lapsed.
             return "not sent"
         if not self.free.holds(NO_RESOURCES):
-            # The capacity has shrunk since; an executor that doesn't guard it would start it.
+            # The capacity has shrunk since, and not every executor enforces it.
             return "no room any more"
         return ""
 
@@ -602,8 +625,8 @@
             self._owner.on_refused(self, run, why)
 
     def _settle_failed_start(self, run: Run) -> None:
-        # Its start may have arrived or not. Left as it is, it would be placed nowhere else, and its
-        # job never end; the stop settles it.
+        # The start may or may not have arrived. Without a stop to settle it, the task would never
+        # be placed again and its job never end.
         known = (run.task.task_id, run.number) in self.runs_by_key
         if known and run.phase is RunPhase.STARTING:
             self.stop_run(run, "start failed")
@@ -611,7 +634,7 @@
     def _order_stop(
         self, task_id: Any, number: int, run: Run | None, *, pause_s: float = 0.0
     ) -> None:
-        """Have a run stopped; a stop that fails is ordered again, or the run would go on."""
+        """Order a stop, and order it again if it fails, as the run would continue otherwise."""
         self._spawn(
             self._stop(task_id, number, run, pause_s),
             lambda: self._order_stop(task_id, number, run, pause_s=RETRY_S),
@@ -634,7 +657,7 @@
             if isinstance(outcome, Refused):
                 self._note_stop("run.stop_refused", task_id, number, outcome.detail)
             elif not unanswered:
-                # Repeated each 0.15 s; one line tells of all.
+                # The stop is repeated every RETRY_S; only the first missing answer is logged.
                 self._note_stop("run.stop_unanswered", task_id, number, outcome.detail)
             unanswered = True
             if run is None and self.lapsed:
@@ -644,7 +667,10 @@
             await self._clock.sleep(RETRY_S)
 
     async def _wait_until_stop_allowed(self, run: Run) -> bool:
-        """Wait until a run may be stopped; False once it is gone, or is kept."""
+        """Wait until a run may be stopped.
+
+        :return: False if the run has ended, or its stop was withdrawn.
+        """
         logged = False
         while (run.task.task_id, run.number) in self.runs_by_key:
             if self._owner.may_stop(run):
@@ -677,13 +703,14 @@
 
     def _reset_pace(self, run: Run, percent: int) -> None:
         if run.pace == percent:
-            # Not known to be in force: the next look at the run's speed orders it again.
+            # The order may not have taken effect; the next check of the run's speed repeats it.
             run.pace = -1
 
     def _spawn(self, work: Coroutine[Any, Any, None], on_failure: Callable[[], None]) -> None:
-        """Run an order.
+        """Run an order in a task of its own.
 
-        :param on_failure: called when it ends by an error, or by a cancellation nobody asked for.
+        :param on_failure: called when the order raises an error, or is cancelled by something that
+            it awaited.
         """
         task = asyncio.create_task(work)
         self._tasks.add(task)
--- a/mustardgap/executor_rosters.py
+++ b/mustardgap/executor_rosters.py
@@ -1,4 +1,4 @@
-"""The executors of one shard's pools, and which of them the owner has heard."""
+"""The executors of one shard's pools, and which of them have reported to its owner."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -16,22 +16,22 @@
 if TYPE_CHECKING:
     from .dispatchers import Dispatcher
 
-# How long an owner that the store doesn't answer goes on giving leases and starting tasks. A
-# successor waits this long, and a lease more, for an executor that it can't reach. With a lease on
-# top, what runs outlasts a store that is away for 11 s.
+# How long an owner continues to grant leases and start tasks without an answer from the store. A
+# new owner waits for this time plus one lease before it treats the leases of an unreachable
+# executor as lapsed. Together with the lease, runs survive a store outage of 11 s.
 AUTHORITY_S = 8.0
 
-# Why an executor is dropped whose machine is certain to have another one.
+# The reason for dropping an executor at whose address another incarnation answers.
 OTHER_INCARNATION_ANSWERS = "another incarnation answers"
 
 
 class ExecutorRoster:
-    """Keeps a link to each executor that runs, or may run, tasks of one shard.
+    """Manages the links to all executors that run, or may run, tasks of one shard.
 
-    :param dispatcher: the shard's owner.
+    :param dispatcher: the owner of the shard.
     :param executors: sends orders to executors.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the event log of this process.
     """
 
     def __init__(
@@ -40,11 +40,12 @@
         self.links_by_executor: dict[str, ExecutorLink] = {}
         self.entries_by_id: dict[str, ExecutorEntry] = {}
         self.services: frozenset[str] = frozenset()
-        # What a former owner used and has not answered this one yet.
+        # Executors that a former owner used, until they report to this owner or their leases lapse.
         self.awaiting_report: set[str] = set()
-        # Ordered away; their entries stay on the list of executors for some seconds.
+        # Executors whose machines were moved or replaced. Their entries stay on the list of
+        # executors for some seconds.
         self.removed: set[str] = set()
-        # Whether the former owner left in good order.
+        # Whether the former owner handed the shard over cleanly.
         self.previous_closed_cleanly = False
         self._dispatcher = dispatcher
         self._executors = executors
@@ -55,14 +56,14 @@
         self._link_tasks: dict[str, asyncio.Task[None]] = {}
 
     def close(self) -> None:
-        """Send no more orders."""
+        """Cancel all links and their orders."""
         for task in list(self._link_tasks.values()):
             task.cancel()
         for link in self.links_by_executor.values():
             link.close()
 
     def update(self) -> None:
-        """Take in the list of executors."""
+        """Apply the current list of executors."""
         for entry in self.entries_by_id.values():
             link = self.links_by_executor.get(entry.executor)
             if link is None:
@@ -92,9 +93,9 @@
                     self.drop(link, "not listed any more")
 
     def open(self, entry: ExecutorEntry, *, inherited: bool) -> None:
-        """Begin to use an executor.
+        """Open a link to an executor.
 
-        :param entry: its entry.
+        :param entry: the executor's entry.
         :param inherited: whether a former owner used it, so that it may run tasks of this shard.
         """
         now = self._clock.monotonic()
@@ -112,8 +113,8 @@
         )
         link.listed = not inherited or entry.executor in self.entries_by_id
         self.links_by_executor[entry.executor] = link
-        # A successor has to know each executor that may run something. The list of executors may
-        # lack one that is cut off, and its tasks would be started a second time.
+        # The next owner has to know every executor that may run tasks. The list of executors may
+        # omit one that is disconnected, and its tasks would be started a second time.
         link.entry_record = self._dispatcher.log.put(
             EXECUTOR_KEY + entry.executor, msgspec.msgpack.encode(entry)
         )
@@ -123,7 +124,7 @@
         self._link_tasks[entry.executor] = self._dispatcher.spawn(link.run())
 
     def await_lease_expiry(self, executor: ExecutorId) -> None:
-        """Wait until all leases on an executor of which only the id is known have lapsed."""
+        """Treat an executor of which only the id is known as unreported until its leases lapse."""
         self.awaiting_report.add(executor)
         self._dispatcher.spawn(self._wait_until_lapsed(executor))
 
@@ -133,12 +134,15 @@
 
     @property
     def _inherited_lease_s(self) -> float:
-        """How long leases that a former owner gave may still last."""
-        # An owner that left in good order gives no leases after its last record.
+        """For how many seconds leases granted by a former owner may still be valid."""
+        # An owner that handed over cleanly grants no leases after its last record.
         return (LEASE_S + (0 if self.previous_closed_cleanly else AUTHORITY_S)) * 1.05
 
     def drop(self, link: ExecutorLink, why: str) -> None:
-        """Take an executor for gone, with all that ran on it."""
+        """Drop an executor that no longer exists, and all runs on it.
+
+        :param why: the reason, for the log and the metrics.
+        """
         executor = link.entry.executor
         if self.links_by_executor.pop(executor, None) is None:
             return
@@ -156,7 +160,10 @@
         self.note_reported(executor)
 
     def note_reported(self, executor: str) -> None:
-        """Note that an executor has told what it runs, or can't run anything any more."""
+        """Note that an executor has reported its runs, or can't have any.
+
+        Once all executors of the former owner have, tasks without a known run may be placed.
+        """
         if executor not in self.awaiting_report:
             return
         self.awaiting_report.discard(executor)
--- a/mustardgap/tickets.py
+++ b/mustardgap/tickets.py
@@ -1,11 +1,11 @@
-"""Tickets of records: whoever waits for a record is told what became of it."""
+"""Tickets of appended records, which report whether the records were stored."""
 
 import asyncio
 import enum
 
 
 class Stored(enum.Enum):
-    """What became of a record."""
+    """The outcome of appending a record."""
 
     YES = "stored"
     NO = "not stored"
@@ -13,15 +13,15 @@
 
 
 class Ticket:
-    """Tells when a record stands in the store.
+    """Reports the outcome of appending one record.
 
-    :param outcome: ends with what became of the record.
+    :param outcome: a future that is resolved with the outcome.
     """
 
     def __init__(self, *, outcome: "asyncio.Future[Stored]") -> None:
         self.outcome = outcome
         self.sent = False
-        # Whether it was sent to the failover partition.
+        # Whether the record was sent to the failover partition.
         self.diverted = False
 
     @property
@@ -30,6 +30,6 @@
         return self.outcome.done() and self.outcome.result() is Stored.YES
 
     def resolve(self, stored: Stored) -> None:
-        """Tell what became of the record; only the first word counts."""
+        """Set the outcome, unless it is already set."""
         if not self.outcome.done():
             self.outcome.set_result(stored)
