--- a/features/held_orders.feature
+++ b/features/held_orders.feature
@@ -1,14 +1,14 @@
-Feature: Few late jobs while a few of all orders are carried out late
-  An executor leaves some orders unanswered and carries them out seconds later. A job of many tasks nearly always has one
-  such order among those that it needs, so it is in time only if each is soon found out and repeated.
+Feature: Short jobs end in time while orders to executors are delayed or the store is slow
+  An executor may leave an order unanswered and process it seconds later. A job of many tasks is likely to need at least
+  one such order, so it ends in time only if each delayed order is detected and repeated soon.
 
-  Scenario Outline: <held> of all orders are held up while jobs of 12 tasks come, 8 a second
-    Each look at an executor may be left unanswered, as each start may. Callers had their jobs 2 s late: a look's answer
-    was waited for 1.6 s, during which nobody knew of the ends there, and the executor got nothing new after it.
+  Scenario Outline: A share of <held> of all orders is delayed while jobs of 12 tasks arrive, 8 a second
+    Polls and starts are delayed alike. With an answer timeout of 1.6 s for polls, ends were seen late and the executor
+    got no new tasks meanwhile, so that jobs ended 2 s late.
 
     Given owners on a fake platform
-    When <held> of all orders to executors are held up while jobs of many tasks come
-    Then at least <share> of the jobs are done as their callers want
+    When a share of <held> of all orders to executors is delayed while jobs of many tasks arrive
+    Then a share of at least <share> of the jobs ends within the time wanted
     And no promise was broken
 
     Examples:
@@ -17,16 +17,16 @@
       | 0.055 | 0.9   |
       | 0.1   | 0.8   |
 
-  Scenario Outline: Each answer of the store takes <seconds> s while jobs of 12 tasks come, 8 a second
-    An end is acknowledged once it is stored; its executor lists it again until that. Looks waited 0.25 s for it, and
-    0.15 s more, so all other ends there were seen late, beside what a slow store costs each job anyway.
+  Scenario Outline: Each answer of the store takes <seconds> s while jobs of 12 tasks arrive, 8 a second
+    An end is acknowledged once it is stored, and its executor reports it again until then. When polls waited 0.25 s for
+    the store and another 0.15 s after that, all other ends were seen late, beyond the delay of the store itself.
 
     Given owners on a fake platform
-    When each answer of the store takes <seconds> s while jobs of many tasks come
-    Then at least <share> of the jobs are done as their callers want
+    When each answer of the store takes <seconds> s while jobs of many tasks arrive
+    Then a share of at least <share> of the jobs ends within the time wanted
     And no promise was broken
 
-    Examples: a job needs two appends beside its work, each up to twice as long as an answer takes
+    Examples: a job needs two appends besides its work, each of which takes up to twice the time of an answer
       | seconds | share |
       | 0.05    | 1.0   |
       | 0.15    | 0.95  |
--- a/mustardgap/advices.py
+++ b/mustardgap/advices.py
@@ -112,8 +112,8 @@
             )
             await self._clock.sleep(RETRY_S)
             return
-        # Validity is counted from before the call, so that a ticket expires here no later than at the
-        # executor.
+        # Validity is counted from before the call, so that a ticket expires here no later than it
+        # does at the executor.
         expires_at = asked_at + (outcome.valid_s or request.policy.valid_s)
         tickets = self._tickets_by_step.setdefault(request.key, {})
         for executor, text in outcome.tickets_by_executor.items():
