--- a/mustardgap/evacuations.py
+++ b/mustardgap/evacuations.py
@@ -10,14 +10,14 @@
 if TYPE_CHECKING:
     from .dispatchers import Dispatcher
 
-# The progress that a lasting task reports while it serves.
+# The progress in percent that a lasting task reports while it serves.
 AT_WORK_PERCENT = 100
 # A run that is expected to end within this time is left to finish on an executor being emptied.
 LET_FINISH_S = 3.0
 # Added to the platform's stop timeout: the delay of the order, and the age of the last report, at
 # most 1 s.
 STOP_SLACK_S = 1.2
-# The reason for stopping a run to empty its executor. Each attempt of such a stop is checked again.
+# The reason for stopping a run to empty its executor. Such a stop is checked before each attempt.
 EVACUATED = "evacuated"
 
 
