--- a/mustardgap/evacuations.py
+++ b/mustardgap/evacuations.py
@@ -54,7 +54,7 @@
         """
         if not run.task.step.lasting or run.link.entry.draining:
             return True
-        if run.why_stopped != EVACUATED:
+        if run.stop_reason != EVACUATED:
             # The start got no answer; the stop settles whether the run exists.
             if run.percent < AT_WORK_PERCENT:
                 return True
@@ -64,7 +64,7 @@
             run.link.cancel_stop(run, "its machine is no longer emptied")
             return False
         siblings = self._dispatcher.job_of(run.task.task_id).siblings(run.task)
-        return self._may_miss_one(run.task, siblings, now, reported_since=run.unanswered_at)
+        return self._may_miss_one(run.task, siblings, now, reported_since=run.stop_unanswered_at)
 
     def _may_evacuate(self, link: ExecutorLink, run: Run, now: float) -> bool:
         step = run.task.step
@@ -102,7 +102,7 @@
             run is not None
             and run.phase is RunPhase.RUNNING
             and run.percent >= AT_WORK_PERCENT
-            and max(run.started_at, run.unanswered_at) <= now - self._stop_effect_s
+            and max(run.started_at, run.stop_unanswered_at) <= now - self._stop_effect_s
             and run.link.up
             and run.link.last_report_at >= reported_since
         )
--- a/mustardgap/executor_links.py
+++ b/mustardgap/executor_links.py
@@ -240,7 +240,7 @@
         if run.phase is RunPhase.STOPPING:
             return
         run.phase = RunPhase.STOPPING
-        run.why_stopped = why
+        run.stop_reason = why
         self._events.note(
             "run.stop",
             job=run.task.task_id.job,
@@ -428,13 +428,13 @@
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
             run.confirmed_at = now
-        run.note_begun(self.report_clock_s)
+        run.note_first_seen(self.report_clock_s)
         if not run.at_work and run.is_at_work(self.report_clock_s):
             run.at_work = True
             self._owner.on_at_work(run)
         if row.percent != run.percent:
             run.percent = row.percent
-            run.moved_s = self.report_clock_s
+            run.progress_changed_s = self.report_clock_s
         if row.checkpoint:
             run.task.checkpoint = row.checkpoint
         run.load = row.load
@@ -533,7 +533,7 @@
                 outcome = await self._order_start(run, payload, ticket)
             metrics.run_starts.add(1, {"outcome": type(outcome).__name__})
             if isinstance(outcome, Started):
-                run.note_begun(outcome.clock_ms / 1000)
+                run.note_first_seen(outcome.clock_ms / 1000)
                 self._confirm_start(run)
                 return
             if isinstance(outcome, StartRefused | Refused):
@@ -663,7 +663,7 @@
             if run is None and self.lapsed:
                 return
             if run is not None:
-                run.unanswered_at = self._clock.monotonic()
+                run.stop_unanswered_at = self._clock.monotonic()
             await self._clock.sleep(RETRY_S)
 
     async def _wait_until_stop_allowed(self, run: Run) -> bool:
@@ -678,7 +678,7 @@
             if run.phase is not RunPhase.STOPPING:
                 return False
             if not logged:
-                self._note_stop("run.stop_waits", run.task.task_id, run.number, run.why_stopped)
+                self._note_stop("run.stop_waits", run.task.task_id, run.number, run.stop_reason)
             logged = True
             await self._clock.sleep(RETRY_S)
         return False
