--- a/mustardgap/evacuations.py
+++ b/mustardgap/evacuations.py
@@ -4,7 +4,7 @@
 
 from .executor_links import ExecutorLink
 from .job_states import Task
-from .placing import choose
+from .placing import choose_executor
 from .runs import Run, RunPhase
 
 if TYPE_CHECKING:
@@ -108,7 +108,7 @@
         job = self._dispatcher.job_of(task.task_id)
         usable = self._dispatcher.starter.usable_links(task.step, job)
         links = [link for link in usable if now >= link.pause_until]
-        if choose(task, siblings, links, self.planned, now) is not None:
+        if choose_executor(task, siblings, links, self.planned, now) is not None:
             return True
         self.cramped.add(job.service)
         return False
--- a/mustardgap/isolation.py
+++ b/mustardgap/isolation.py
@@ -8,7 +8,7 @@
 from .crashes import is_prime_suspect, is_suspect
 from .executor_links import ExecutorLink
 from .job_states import Job, Task
-from .placing import serves
+from .placing import is_eligible
 from .timers import Clock
 from .workloads import TaskId
 
@@ -72,7 +72,7 @@
         fitting = [
             link
             for link in links
-            if serves(link, step, job.service)
+            if is_eligible(link, step, job.service)
             and link.holds(step.room)
             and not link.on_trial
             and all(run.at_work for run in link.runs_by_key.values())
@@ -93,7 +93,7 @@
         self, tasks: Sequence[Task], job: Job, links: Sequence[ExecutorLink]
     ) -> list[ExecutorLink]:
         """The executors for a gang with a suspect: empty ones, unless it has waited for long."""
-        serving = [link for link in links if serves(link, tasks[0].step, job.service)]
+        serving = [link for link in links if is_eligible(link, tasks[0].step, job.service)]
         if any(self._has_waited(task) for task in tasks):
             return serving
         return [link for link in serving if not link.runs_by_key]
--- a/mustardgap/openings.py
+++ b/mustardgap/placement_caches.py
@@ -7,7 +7,7 @@
 from .workloads import Room, Step
 
 
-class Openings:
+class PlacementCache:
     """Answers for all steps of one pass, in which executors only get fuller.
 
     Nothing but the pass itself changes an executor while it runs, so which executors a kind of step
--- a/mustardgap/placing.py
+++ b/mustardgap/placing.py
@@ -12,30 +12,30 @@
 # Up to this many times its objective a job earns a little; after that only its promise counts.
 LATE_FACTOR = 3.0
 # A job with less slack than this has to begin now: estimates are off by some tenths of a second.
-CRITICAL_S = 0.3
+CRITICAL_SLACK_S = 0.3
 # An executor whose last run failed isn't trusted for so long; tasks may lie idle for 3 s at most.
 DISTRUST_S = 1.5
 
 
-class Urgency(NamedTuple):
+class PlacementKey(NamedTuple):
     """Orders jobs; the smallest goes first."""
 
-    standing: int
+    category: int
     priority: int
     can_wait: bool
     rank: float
 
 
-LASTING, IN_TIME, LATE, HOPELESS = range(4)
+LASTING, IN_TIME, LATE, TOO_LATE = range(4)
 
 
-class Standing(NamedTuple):
+class Timeliness(NamedTuple):
     """Where a job stands against its objective.
 
     ``slack_s`` is how long it may still wait, ``work`` the core-seconds that it needs.
     """
 
-    standing: int
+    category: int
     slack_s: float
     work: float
 
@@ -45,7 +45,7 @@
     return queue.stretch * job.chain_s + queue.objective_s
 
 
-def standing(job: Job, queue: Queue, wall: float) -> Standing:
+def timeliness_of(job: Job, queue: Queue, wall: float) -> Timeliness:
     """Whether a job can still be in time.
 
     :param wall: seconds since the epoch.
@@ -54,13 +54,13 @@
     objective = objective_s(job, queue)
     slack = job.accepted_at + objective - wall - chain
     if slack >= 0:
-        return Standing(IN_TIME, slack, work)
+        return Timeliness(IN_TIME, slack, work)
     if slack >= -(LATE_FACTOR - 1) * objective:
-        return Standing(LATE, slack, work)
-    return Standing(HOPELESS, slack, work)
+        return Timeliness(LATE, slack, work)
+    return Timeliness(TOO_LATE, slack, work)
 
 
-def in_order(
+def sort_for_placement(
     jobs: Iterable[Job],
     queue_of: Callable[[Job], Queue | None],
     cores_by_service: Mapping[str, float],
@@ -81,34 +81,34 @@
     :param policy: what takes part.
     """
     ordered = list(jobs)
-    standings = {
-        job.job_id: standing(job, queue, wall)
+    timeliness_by_job = {
+        job.job_id: timeliness_of(job, queue, wall)
         for job in ordered
         if not job.lasting and (queue := queue_of(job)) is not None
     }
     overloaded = set()
     if policy.has(Mechanism.OVERLOAD_ORDER):
-        overloaded = _overloaded(ordered, standings, cores_by_service)
+        overloaded = _overloaded_services(ordered, timeliness_by_job, cores_by_service)
 
-    def key(job: Job) -> Urgency:
+    def key(job: Job) -> PlacementKey:
         queue = queue_of(job)
         if queue is None:
-            return Urgency(HOPELESS, 0, True, job.accepted_at)
+            return PlacementKey(TOO_LATE, 0, True, job.accepted_at)
         if job.lasting:
-            return Urgency(LASTING, queue.priority, False, job.accepted_at)
-        seen = standings[job.job_id]
-        if job.service in overloaded and seen.standing == IN_TIME:
-            rank = -job.accepted_at if not job.begun else seen.slack_s
-            return Urgency(IN_TIME, queue.priority, not job.begun, rank)
-        critical = seen.standing == IN_TIME and seen.slack_s < CRITICAL_S
-        return Urgency(seen.standing, queue.priority, not critical, seen.work)
+            return PlacementKey(LASTING, queue.priority, False, job.accepted_at)
+        timeliness = timeliness_by_job[job.job_id]
+        if job.service in overloaded and timeliness.category == IN_TIME:
+            rank = -job.accepted_at if not job.begun else timeliness.slack_s
+            return PlacementKey(IN_TIME, queue.priority, not job.begun, rank)
+        critical = timeliness.category == IN_TIME and timeliness.slack_s < CRITICAL_SLACK_S
+        return PlacementKey(timeliness.category, queue.priority, not critical, timeliness.work)
 
     return sorted(ordered, key=key)
 
 
-def _overloaded(
+def _overloaded_services(
     jobs: Iterable[Job],
-    standings: Mapping[str, Standing],
+    timeliness_by_job: Mapping[str, Timeliness],
     cores_by_service: Mapping[str, float],
 ) -> set[str]:
     """The services whose waiting jobs can't all be in time."""
@@ -116,11 +116,11 @@
     slack: Counter[str] = Counter()
     waiting: Counter[str] = Counter()
     for job in jobs:
-        seen = standings.get(job.job_id)
-        if seen is None or seen.standing != IN_TIME or job.begun:
+        timeliness = timeliness_by_job.get(job.job_id)
+        if timeliness is None or timeliness.category != IN_TIME or job.begun:
             continue
-        work[job.service] += seen.work  # type: ignore[assignment]
-        slack[job.service] += seen.slack_s  # type: ignore[assignment]
+        work[job.service] += timeliness.work  # type: ignore[assignment]
+        slack[job.service] += timeliness.slack_s  # type: ignore[assignment]
         waiting[job.service] += 1
     return {
         service
@@ -131,10 +131,10 @@
 
 def usable(link: ExecutorLink, step: Step, service: str) -> bool:
     """Whether an executor may get new runs of a step that needn't be kept apart from others."""
-    return not link.reserved and not link.on_trial and serves(link, step, service)
+    return not link.reserved and not link.on_trial and is_eligible(link, step, service)
 
 
-def serves(link: ExecutorLink, step: Step, service: str) -> bool:
+def is_eligible(link: ExecutorLink, step: Step, service: str) -> bool:
     """Whether an executor may get new runs of a step at all."""
     return (
         link.up
@@ -150,11 +150,11 @@
     )
 
 
-def choose_each(
+def choose_executors(
     tasks: Iterable[Task],
     siblings: Sequence[Task],
     links: Sequence[ExecutorLink],
-    planned: frozenset[str],
+    departing: frozenset[str],
     now: float,
     *,
     spread: bool = False,
@@ -168,7 +168,7 @@
     :param tasks: tasks of the step that wait.
     :param siblings: all tasks of the step, for its bound of tasks on one executor.
     :param links: executors that may be used for them.
-    :param planned: executors that will be taken away soon.
+    :param departing: executors that will be taken away soon.
     :param now: steady seconds.
     :param spread: whether executors have been crashing, so that those with least work are best.
     """
@@ -176,27 +176,27 @@
     ranking: _Ranking | None = None
     for task in tasks:
         # What has failed or stood still somewhere has executors of its own to avoid.
-        alike = not task.avoided and not task.failures
-        if ranking is None or not alike:
-            ranking = _Ranking(links, task, planned, spread)
+        shares_ranking = not task.avoided and not task.failures
+        if ranking is None or not shares_ranking:
+            ranking = _Ranking(links, task, departing, spread)
         link = ranking.best(task, counts, now)
         if link is None:
             return
         counts[link.entry.executor] += 1
-        if not alike:
+        if not shares_ranking:
             ranking = None
         yield task, link
 
 
-def choose(
+def choose_executor(
     task: Task,
     siblings: Sequence[Task],
     links: Sequence[ExecutorLink],
-    planned: frozenset[str],
+    departing: frozenset[str],
     now: float,
 ) -> ExecutorLink | None:
-    """Choose an executor for one task as ``choose_each`` does, None when none has room."""
-    for _, link in choose_each([task], siblings, links, planned, now):
+    """Choose an executor for one task as ``choose_executors`` does, None when none has room."""
+    for _, link in choose_executors([task], siblings, links, departing, now):
         return link
     return None
 
@@ -205,12 +205,12 @@
     """The executors that hold a task, the best first."""
 
     def __init__(
-        self, links: Sequence[ExecutorLink], task: Task, planned: frozenset[str], spread: bool
+        self, links: Sequence[ExecutorLink], task: Task, departing: frozenset[str], spread: bool
     ) -> None:
         room = task.step.room
         fitting = [link for link in links if link.holds(room)]
         self._best_last = sorted(
-            fitting, key=lambda link: _preference(link, task, planned, spread), reverse=True
+            fitting, key=lambda link: _preference(link, task, departing, spread), reverse=True
         )
 
     def best(self, task: Task, counts: Counter[str], now: float) -> ExecutorLink | None:
@@ -240,16 +240,16 @@
 
 
 def _preference(
-    link: ExecutorLink, task: Task, planned: frozenset[str], spread: bool
+    link: ExecutorLink, task: Task, departing: frozenset[str], spread: bool
 ) -> tuple[bool, bool, bool, bool, bool, bool, int]:
     step = task.step
     free_cpu = link.entry.capacity.cpu - link.used.cpu
-    leaves_soon = link.entry.executor in planned
+    leaves_soon = link.entry.executor in departing
     return (
         link.entry.executor in task.avoided or link.entry.machine in task.avoided,
         link.slow_marks > 0,
         # Short tasks may as well run where lasting ones can't stay.
-        leaves_soon if step.lasting else not leaves_soon and bool(planned),
+        leaves_soon if step.lasting else not leaves_soon and bool(departing),
         bool(step.data_rack) and link.entry.rack != step.data_rack,
         # Lasting tasks share few machines, so that the others can leave the pool.
         step.lasting and not link.lasting_runs,
@@ -261,7 +261,9 @@
     )
 
 
-def choose_gang(tasks: Sequence[Task], links: Sequence[ExecutorLink]) -> list[ExecutorLink] | None:
+def choose_gang_executors(
+    tasks: Sequence[Task], links: Sequence[ExecutorLink]
+) -> list[ExecutorLink] | None:
     """Choose executors for all tasks of a gang, None when there is no room for all.
 
     :return: one link a task, in the order of the tasks.
@@ -274,13 +276,13 @@
     if not step.same_rack or len(groups) > 1:
         groups.append(list(links))
     for group in groups:
-        chosen = _fill(tasks, group)
+        chosen = _fit_gang(tasks, group)
         if chosen is not None:
             return chosen
     return None
 
 
-def _fill(tasks: Sequence[Task], links: Sequence[ExecutorLink]) -> list[ExecutorLink] | None:
+def _fit_gang(tasks: Sequence[Task], links: Sequence[ExecutorLink]) -> list[ExecutorLink] | None:
     step = tasks[0].step
     free = {link.entry.executor: link.free for link in links}
     counts: Counter[str] = Counter()
--- a/mustardgap/pool_views.py
+++ b/mustardgap/pool_views.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from .job_states import Job
-from .placing import HOPELESS, standing
+from .placing import TOO_LATE, timeliness_of
 from .workloads import ExecutorId
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
         if job.service != service or job.phase:
             continue
         queue = dispatcher.queue_of(job)
-        hopeless = queue is None or standing(job, queue, wall).standing == HOPELESS
+        hopeless = queue is None or timeliness_of(job, queue, wall).category == TOO_LATE
         for tasks in job.steps_in_turn():
             step = tasks[0].step
             if step.filling:
