--- a/features/steps/job_queues_steps.py
+++ b/features/steps/job_queues_steps.py
@@ -54,12 +54,12 @@
         rooms = context.rooms()
         free = {}
         for n, capacity in enumerate(capacities):
-            rooms.open(f"w{n}", capacity)
+            rooms.add_worker(f"w{n}", capacity)
             free[f"w{n}"] = capacity
         for n, (at, size) in enumerate(held):
             worker = f"w{at % 5}"
             if worker in free and size.fits(free[worker]):
-                rooms.take(f"h{n}", worker, size)
+                rooms.allocate(f"h{n}", worker, size)
                 free[worker] = free[worker].plus(size, -1)
         assert rooms.free_by_worker == free
         waiting = [Waiting(f"j{n:02}", u, 0, 0.0, size, 1.0) for n, (u, size) in enumerate(jobs)]
@@ -89,7 +89,7 @@
     def check(jobs, capacities, kept):
         rooms = context.rooms()
         for n, capacity in enumerate(capacities):
-            rooms.open(f"w{n}", capacity)
+            rooms.add_worker(f"w{n}", capacity)
         waiting = [Waiting(f"j{n:02}", u, 0, 0.0, size, 1.0) for n, (u, size) in enumerate(jobs)]
         queue = Queue(
             rooms=rooms,
--- a/features/steps/owners_parts_steps.py
+++ b/features/steps/owners_parts_steps.py
@@ -7,7 +7,7 @@
 from features.support.cancelled_parts import EndedOnce, cancelled, failed
 from features.support.owner_jobs import START_S, hand_in, job_id_of
 from mustardgap.dispatchers import TICK_S
-from mustardgap.pacing import HIGH_SHARE
+from mustardgap.pacing import HIGH_TAIL_RATIO
 from mustardgap.ports import NoAnswer
 from mustardgap.runs import RunPhase
 from mustardgap.shard_owners import FLEET_SHARD
@@ -146,7 +146,7 @@
         run.link.pace(run, 0)
         await asyncio.sleep(1)
         for _ in range(2):
-            dispatcher.pacing._adjust(run.link, [run], HIGH_SHARE + 0.1)
+            dispatcher.pacing._adjust(run.link, [run], HIGH_TAIL_RATIO + 0.1)
             await asyncio.sleep(1)
         context.ended = run.link._port.count
         context.calls = run.link._port.calls
--- a/mustardgap/job_queues.py
+++ b/mustardgap/job_queues.py
@@ -140,7 +140,7 @@
                 self._visit(job)
         finally:
             for place in self.placed:
-                self.rooms.give(place.job)
+                self.rooms.release(place.job)
         return [*self.placed, *self.paused]
 
     def _visit(self, job: Waiting) -> None:
@@ -152,7 +152,7 @@
         # Where a smaller and shorter job found no room a moment ago, there is none for this one,
         # unless a worker is kept for it.
         if has_worker or not self._is_hopeless(job):
-            worker = self.rooms.fit(job.size, avoid=job.avoid | self._kept_from(job))
+            worker = self.rooms.best_fit(job.size, avoid=job.avoid | self._kept_from(job))
         if worker is not None:
             if self.may_place(job.job, worker):
                 self._place(job, worker)
@@ -172,7 +172,7 @@
 
     def _place(self, job: Waiting, worker: str) -> None:
         self.placed.append(Place(job.job, worker, job.size))
-        self.rooms.take(job.job, worker, job.size)
+        self.rooms.allocate(job.job, worker, job.size)
         for kept, reservation in list(self.reserved.items()):
             if reservation.job == job.job:
                 del self.reserved[kept]
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -100,10 +100,10 @@
             job = self.state.jobs_by_id.get(name)
             attempt = None if job is None else attempt_of(job)
             if job is not None and attempt is not None:
-                self.rooms.take(name, attempt["worker"], self._held(job))
+                self.rooms.allocate(name, attempt["worker"], self._held(job))
                 self._jobs_by_team[job["spec"]["team"]].add(name)
             else:
-                self.rooms.give(name)
+                self.rooms.release(name)
                 if job is not None:
                     self._jobs_by_team[job["spec"]["team"]].discard(name)
             if job is not None and attempt is None and job["phase"] != "ended":
@@ -124,16 +124,16 @@
             if before is not None:
                 self._capacities[before] -= 1
             if host is None:
-                self.rooms.close(name)
+                self.rooms.remove_worker(name)
                 continue
             capacity = self._capacity_by_host[name] = _capacity(host["facts"])
             self._capacities[capacity] += 1
             is_ready = worker is not None and worker["state"] == "up"
             is_ready = is_ready and worker is not None and worker["pool"] == host["pool"]
             if is_ready and host["phase"] == "in_service" and is_job_pool(self.state, host["pool"]):
-                self.rooms.open(name, capacity)
+                self.rooms.add_worker(name, capacity)
             else:
-                self.rooms.close(name)
+                self.rooms.remove_worker(name)
 
     def learn(self, task: TaskInfo) -> None:
         """Learn from what a task that is done has used; its usage comes in late."""
@@ -324,7 +324,7 @@
 
     def _running(self, name: str, worker: str) -> Running:
         job = self.state.jobs_by_id[name]
-        held = self.rooms.held(name)
+        held = self.rooms.allocation(name)
         started = job["attempts"][-1]["started"]
         step = pause_step(job, disruption_of(self.state, job))
         has_run = self._now() - started >= least_run_s(_pauses(job))
--- a/tools/bench_jobs.py
+++ b/tools/bench_jobs.py
@@ -37,13 +37,13 @@
         """Place in the order of submission until one finds no room."""
         placed = []
         for job in sorted(waiting, key=lambda w: (w.since, w.job)):
-            worker = self.rooms.fit(job.size, avoid=job.avoid)
+            worker = self.rooms.best_fit(job.size, avoid=job.avoid)
             if worker is None or not self.may_place(job.job, worker):
                 break
             placed.append(Place(job.job, worker, job.size))
-            self.rooms.take(job.job, worker, job.size)
+            self.rooms.allocate(job.job, worker, job.size)
         for place in placed:
-            self.rooms.give(place.job)
+            self.rooms.release(place.job)
         return placed
 
 
