--- a/mustardgap/candidates.py
+++ b/mustardgap/candidates.py
@@ -75,7 +75,7 @@
     fleet = draft.fleet
     if not draft.is_settled(group):
         return
-    ids = group.top_ids()
+    ids = group.largest_domain_ids()
     if group.margin > 0:
         top = set(ids)
         ids += [h for h in group.host_ids() if h not in top]
@@ -111,7 +111,7 @@
     :param held_names: groups that keep their surplus for now.
     """
     fleet = draft.fleet
-    donors = [fleet.groups_by_name[n] for n in fleet.over_names if n not in held_names]
+    donors = [fleet.groups_by_name[n] for n in fleet.surplus_group_names if n not in held_names]
     for donor in sorted(donors, key=least_urgent_first):
         if donor is group:
             continue
@@ -136,7 +136,7 @@
             return False
         count = len(draft.steps)
         name = group.requirement.name
-        draft.assign(free, donor.pool_for_next(), f"so that a host of use can go to {name}")
+        draft.assign(free, donor.pool_for_next_host(), f"so that a host of use can go to {name}")
         hosts = (draft.fleet.hosts_by_id[h] for h in donor.host_ids())
         if any(donor.can_lose(host) and wanted(host) for host in hosts):
             return True
--- a/mustardgap/host_actors.py
+++ b/mustardgap/host_actors.py
@@ -11,7 +11,7 @@
 from .models import HostBody, HostState, Phase, WorkerInfo
 from .operations import Operations, count
 from .outcomes import Rejected
-from .placements import PLAN_REASON
+from .placements import PLAN_REASON_PREFIX
 
 # A daemon that hasn't folded a record for this long is not ready and takes no requests.
 FOLDED_BY_ALL_S = 6.0
@@ -211,7 +211,7 @@
             # While it was away its place was filled, or its pool taken away. Without this it would
             # be refused until it counts as one that never returned; as a free host it is of use.
             pool = "" if host["phase"] == "failed" else host["pool"]
-            body = host_body(host, "drained", pool, f"{PLAN_REASON}its place was filled")
+            body = host_body(host, "drained", pool, f"{PLAN_REASON_PREFIX}its place was filled")
             body["wave"] = ""
             await self.operations.write(ticket, "host", body)
 
@@ -260,7 +260,7 @@
             reason = f"{status_codes.HOST_WONT_RETURN}: not back after {waited_s:.0f} s"
             return Enter("set_aside", host["pool"], reason)
         is_draining = host["phase"] == "draining" and worker["state"] == "draining"
-        if is_draining and host["reason"].startswith(PLAN_REASON):
+        if is_draining and host["reason"].startswith(PLAN_REASON_PREFIX):
             reason = f"{status_codes.HOST_WONT_DRAIN}: not empty after {waited_s:.0f} s"
             return Enter("in_service", host["pool"], reason)
         return None
--- a/mustardgap/placements.py
+++ b/mustardgap/placements.py
@@ -8,16 +8,16 @@
 from .requirements import Declared, Requirement, read_policy, read_requirements
 from .states import domain_of
 
-PLAN_REASON = "plan: "
+PLAN_REASON_PREFIX = "plan: "
 SPARE_POOL = ""
 
 
-def is_planned(host: HostState) -> bool:
+def is_drained_by_planner(host: HostState) -> bool:
     """Whether the planner itself emptied this host, so that it may give it to another pool.
 
     A host that an operator drained stays out until the operator takes it back.
     """
-    return host["reason"].startswith(PLAN_REASON) and not host["wave"]
+    return host["reason"].startswith(PLAN_REASON_PREFIX) and not host["wave"]
 
 
 class Group:
@@ -29,7 +29,7 @@
     def __init__(self, *, requirement: Requirement) -> None:
         self.requirement = requirement
         self.size = 0
-        self.top = 0
+        self.max_domain_size = 0
         self.ids_by_domain: dict[str, set[str]] = {}
         self.size_by_rack: Counter[str] = Counter()
         self.size_by_data_center: Counter[str] = Counter()
@@ -37,7 +37,7 @@
         self.draining_by_pool: Counter[str] = Counter()
         self.out_ids: set[str] = set()
         self._domains_by_size: Counter[int] = Counter()
-        self._maintained: list[tuple[float, str]] = []
+        self._maintenance_heap: list[tuple[float, str]] = []
         self._maintained_by_id: dict[str, float] = {}
 
     def add(self, host: HostState) -> None:
@@ -47,10 +47,10 @@
         )
         ids.add(host["host"])
         self.size += 1
-        self._resize(len(ids) - 1, len(ids))
+        self._update_domain_size(len(ids) - 1, len(ids))
         self._count(host, 1)
         self._maintained_by_id[host["host"]] = host["maintained"]
-        heapq.heappush(self._maintained, (host["maintained"], host["host"]))
+        heapq.heappush(self._maintenance_heap, (host["maintained"], host["host"]))
 
     def remove(self, host: HostState) -> None:
         """Count a host that left service."""
@@ -58,7 +58,7 @@
         ids = self.ids_by_domain[domain]
         ids.remove(host["host"])
         self.size -= 1
-        self._resize(len(ids) + 1, len(ids))
+        self._update_domain_size(len(ids) + 1, len(ids))
         self._count(host, -1)
         del self._maintained_by_id[host["host"]]
         if not ids:
@@ -69,7 +69,7 @@
         """How many hosts go with the largest failure domain."""
         if self.requirement.survive == "none":
             return 0
-        return min(self.size, 1) if self.requirement.survive == "host" else self.top
+        return min(self.size, 1) if self.requirement.survive == "host" else self.max_domain_size
 
     @property
     def margin(self) -> int:
@@ -85,11 +85,11 @@
         return any(self.size_by_pool[name] < pools[name].min_hosts for name in pools)
 
     @property
-    def is_over(self) -> bool:
+    def has_surplus(self) -> bool:
         """Whether a host could leave without breaking the budget, the pools' sizes aside."""
         if self.size > self.requirement.max_hosts or self.margin > 0:
             return True
-        return self.margin == 0 and self._is_lopsided
+        return self.margin == 0 and self._has_single_largest_domain
 
     @property
     def is_full(self) -> bool:
@@ -97,7 +97,7 @@
         return self.size + self.draining_by_pool.total() >= self.requirement.max_hosts
 
     @property
-    def crowded_pools(self) -> list[str]:
+    def overfull_pools(self) -> list[str]:
         """The pools that hold more hosts than they may."""
         pools = self.requirement.pools
         return [name for name in pools if self.size_by_pool[name] > pools[name].max_hosts]
@@ -111,8 +111,11 @@
             loss = min(left, 1)
         else:
             ids = self.ids_by_domain[domain_of(host["facts"], self.requirement.survive)]
-            alone = len(ids) == self.top and self._domains_by_size[self.top] == 1
-            loss = self.top - 1 if alone else self.top
+            is_only_largest = (
+                len(ids) == self.max_domain_size
+                and self._domains_by_size[self.max_domain_size] == 1
+            )
+            loss = self.max_domain_size - 1 if is_only_largest else self.max_domain_size
         return left - loss - self.requirement.min_hosts
 
     def margin_with(self, host: HostState) -> int:
@@ -120,7 +123,7 @@
         if self.requirement.survive in ("none", "host"):
             return self.margin + (1 if self.size or self.requirement.survive == "none" else 0)
         ids = self.ids_by_domain.get(domain_of(host["facts"], self.requirement.survive), ())
-        return self.margin + (1 if len(ids) < self.top else 0)
+        return self.margin + (1 if len(ids) < self.max_domain_size else 0)
 
     def can_lose(self, host: HostState) -> bool:
         """Whether this host may leave service without breaking a budget."""
@@ -132,12 +135,12 @@
         """All hosts in service, in order."""
         return sorted(host for ids in self.ids_by_domain.values() for host in ids)
 
-    def top_ids(self) -> list[str]:
+    def largest_domain_ids(self) -> list[str]:
         """The hosts of the domains that hold the most, in order."""
-        full = [d for d, ids in self.ids_by_domain.items() if len(ids) == self.top]
+        full = [d for d, ids in self.ids_by_domain.items() if len(ids) == self.max_domain_size]
         return [host for domain in sorted(full) for host in sorted(self.ids_by_domain[domain])]
 
-    def pool_for_next(self) -> str:
+    def pool_for_next_host(self) -> str:
         """The pool that another host should join."""
         pools = self.requirement.pools
         short = [name for name in pools if self.size_by_pool[name] < pools[name].min_hosts]
@@ -147,24 +150,26 @@
 
     def oldest_maintained(self) -> float | None:
         """When the host in service that has waited longest was maintained, None without hosts."""
-        while self._maintained:
-            maintained, host_id = self._maintained[0]
+        while self._maintenance_heap:
+            maintained, host_id = self._maintenance_heap[0]
             if self._maintained_by_id.get(host_id) == maintained:
                 return maintained
-            heapq.heappop(self._maintained)
+            heapq.heappop(self._maintenance_heap)
         return None
 
     @property
-    def _is_lopsided(self) -> bool:
+    def _has_single_largest_domain(self) -> bool:
         if self.requirement.survive not in ("rack", "data_center"):
             return False
-        return self.top > 1 and self._domains_by_size[self.top] == 1
+        return self.max_domain_size > 1 and self._domains_by_size[self.max_domain_size] == 1
 
-    def _resize(self, before: int, after: int) -> None:
+    def _update_domain_size(self, before: int, after: int) -> None:
         self._domains_by_size[before] -= 1
         self._domains_by_size[after] += 1
-        if after > self.top or (before == self.top and not self._domains_by_size[before]):
-            self.top = after
+        if after > self.max_domain_size or (
+            before == self.max_domain_size and not self._domains_by_size[before]
+        ):
+            self.max_domain_size = after
 
     def _count(self, host: HostState, change: int) -> None:
         self.size_by_rack[domain_of(host["facts"], "rack")] += change
@@ -192,17 +197,17 @@
         self.emptied_ids: set[str] = set()
         self.out_ids: set[str] = set()
         self.stray_ids: set[str] = set()
-        self.short_names: set[str] = set()
-        self.over_names: set[str] = set()
-        self.crowded_names: set[str] = set()
-        self._pools: set[str] = set()
+        self.short_group_names: set[str] = set()
+        self.surplus_group_names: set[str] = set()
+        self.overfull_group_names: set[str] = set()
+        self._pool_names: set[str] = set()
         self._requirements = read_requirements(declarations_by_key)
-        self._group(declarations_by_key)
+        self._build_groups(declarations_by_key)
         for host in hosts:
             self._index(host)
-        self._mark_all()
+        self._update_all_statuses()
 
-    def declare(self, declarations_by_key: Declared) -> None:
+    def update_declarations(self, declarations_by_key: Declared) -> None:
         """Take over changed declarations; only a changed requirement costs more than a look."""
         self.policy = read_policy(declarations_by_key)
         requirements = read_requirements(declarations_by_key)
@@ -212,17 +217,17 @@
         for host in hosts:
             self._unindex(host)
         self._requirements = requirements
-        self._group(declarations_by_key)
+        self._build_groups(declarations_by_key)
         for host in hosts:
             self._index(host)
-        self._mark_all()
+        self._update_all_statuses()
 
     @property
     def free_count(self) -> int:
         """How many hosts can be assigned at once."""
         return sum(len(ids) for ids in self.free_ids_by_rack.values())
 
-    def put(self, host: HostState) -> HostState | None:
+    def update_host(self, host: HostState) -> HostState | None:
         """Take over a host's new state.
 
         :return: its state before, None for a new host.
@@ -234,32 +239,34 @@
         for state in (before, host):
             group = self.groups_by_pool.get(state["pool"]) if state else None
             if group is not None:
-                self._mark(group)
+                self._update_status(group)
         return before
 
-    def drop(self, host_id: str) -> None:
+    def remove_host(self, host_id: str) -> None:
         """Forget a host."""
         host = self.hosts_by_id[host_id]
         self._unindex(host)
         del self.hosts_by_id[host_id]
         group = self.groups_by_pool.get(host["pool"])
         if group is not None:
-            self._mark(group)
+            self._update_status(group)
 
     def is_free(self, host: HostState) -> bool:
         """Whether a host can be assigned at once: in the spare pool, or emptied by a plan."""
         if host["phase"] == "in_service":
             return host["pool"] == SPARE_POOL
-        return host["phase"] == "drained" and is_planned(host)
+        return host["phase"] == "drained" and is_drained_by_planner(host)
 
-    def _group(self, declarations_by_key: Declared) -> None:
+    def _build_groups(self, declarations_by_key: Declared) -> None:
         self.groups_by_name.clear()
         self.groups_by_pool.clear()
         for name, requirement in self._requirements.items():
             group = Group(requirement=requirement)
             self.groups_by_name[name] = group
             self.groups_by_pool.update(dict.fromkeys(requirement.pools, group))
-        self._pools = {k.partition("/")[2] for k in declarations_by_key if k.startswith("pool/")}
+        self._pool_names = {
+            k.partition("/")[2] for k in declarations_by_key if k.startswith("pool/")
+        }
 
     def _index(self, host: HostState) -> None:
         host_id = host["host"]
@@ -272,12 +279,12 @@
         elif host["phase"] == "in_service":
             if group is not None:
                 group.add(host)
-            elif host["pool"] not in self._pools:
+            elif host["pool"] not in self._pool_names:
                 self.stray_ids.add(host_id)
         elif host["phase"] == "draining":
             if group is not None:
                 group.draining_by_pool[host["pool"]] += 1
-            if is_planned(host):
+            if is_drained_by_planner(host):
                 self.emptying_ids.add(host_id)
         if host["wave"] and host["phase"] in ("draining", "drained", "rebooting"):
             self.out_ids.add(host_id)
@@ -303,21 +310,21 @@
         if group is not None:
             group.out_ids.discard(host_id)
 
-    def _mark_all(self) -> None:
-        self.short_names.clear()
-        self.over_names.clear()
-        self.crowded_names.clear()
+    def _update_all_statuses(self) -> None:
+        self.short_group_names.clear()
+        self.surplus_group_names.clear()
+        self.overfull_group_names.clear()
         for group in self.groups_by_name.values():
-            self._mark(group)
+            self._update_status(group)
 
-    def _mark(self, group: Group) -> None:
+    def _update_status(self, group: Group) -> None:
         name = group.requirement.name
-        _put_if(self.short_names, name, group.is_short)
-        _put_if(self.over_names, name, group.is_over)
-        _put_if(self.crowded_names, name, bool(group.crowded_pools))
+        _set_membership(self.short_group_names, name, group.is_short)
+        _set_membership(self.surplus_group_names, name, group.has_surplus)
+        _set_membership(self.overfull_group_names, name, bool(group.overfull_pools))
 
 
-def _put_if(names: set[str], name: str, is_member: bool) -> None:
+def _set_membership(names: set[str], name: str, is_member: bool) -> None:
     if is_member:
         names.add(name)
     else:
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -23,13 +23,13 @@
 # A job is told that it never fits only when the fleet has been known for this long.
 NEVER_FITS_AFTER_S = 10.0
 # How often the queue is looked at when nothing has changed.
-IDLE_S = 2.0
-MAX_WRITES = 100
+IDLE_INTERVAL_S = 2.0
+MAX_WRITES_PER_PASS = 100
 # A long pass is followed by a rest so many times as long, so that requests aren't held up.
 REST_FACTOR = 10.0
 
 
-class End(NamedTuple):
+class EndJob(NamedTuple):
     """End a job that can never run."""
 
     job: str
@@ -44,7 +44,7 @@
     why: str
 
 
-Decision = Place | Pause | End | SetAside
+Decision = Place | Pause | EndJob | SetAside
 
 
 class Placer:
@@ -70,9 +70,9 @@
         self._capacities: Counter[Size] = Counter()
         self._capacity_by_host: dict[str, Size] = {}
         self._is_changed = True
-        self._judge_anew = True
-        self._looked_at = float("-inf")
-        self._rest_s = 0.0
+        self._failures_stale = True
+        self._last_pass_at = float("-inf")
+        self._min_pause_s = 0.0
 
     @property
     def state(self) -> Any:
@@ -86,7 +86,7 @@
         self._jobs_by_team.clear()
         self._capacities.clear()
         self._capacity_by_host.clear()
-        self._judge_anew = True
+        self._failures_stale = True
         for job in self.state.jobs_by_id.values():
             if job["code"] == status_codes.JOB_DONE.number and "usage" in job:
                 self.usages.learn(job["job"], job["spec"], job["usage"])
@@ -100,7 +100,7 @@
             job = self.state.jobs_by_id.get(name)
             attempt = None if job is None else attempt_of(job)
             if job is not None and attempt is not None:
-                self.rooms.allocate(name, attempt["worker"], self._held(job))
+                self.rooms.allocate(name, attempt["worker"], self._allocated_size(job))
                 self._jobs_by_team[job["spec"]["team"]].add(name)
             else:
                 self.rooms.release(name)
@@ -112,7 +112,7 @@
             else:
                 self._waiting_since.pop(name, None)
             if job is not None and any(a["outcome"] == "failed" for a in job["attempts"]):
-                self._judge_anew = True
+                self._failures_stale = True
 
     def follow_hosts(self, names: set[str]) -> None:
         """Take in that these hosts or workers have changed."""
@@ -145,32 +145,34 @@
         """The decisions that this daemon should write now."""
         rank = self.duties.rank(KEY)
         now = self.operations.timers.clock.monotonic()
-        pace = IDLE_S if rank == 0 and not self._is_changed else self._rest_s
-        if rank is None or now - self._looked_at < (pace if rank == 0 else IDLE_S):
+        interval_s = IDLE_INTERVAL_S if rank == 0 and not self._is_changed else self._min_pause_s
+        if rank is None or now - self._last_pass_at < (
+            interval_s if rank == 0 else IDLE_INTERVAL_S
+        ):
             return []
-        self._looked_at, self._is_changed = now, False
+        self._last_pass_at, self._is_changed = now, False
         began = time.perf_counter()
         decisions = self.decide()
-        self._rest_s = (time.perf_counter() - began) * REST_FACTOR
+        self._min_pause_s = (time.perf_counter() - began) * REST_FACTOR
         if not decisions:
             self.duties.drop(KEY)
             return []
         key = tuple((type(d).__name__, *d[:2]) for d in decisions)
-        return decisions[:MAX_WRITES] if self.duties.is_due(KEY, key) else []
+        return decisions[:MAX_WRITES_PER_PASS] if self.duties.is_due(KEY, key) else []
 
     def decide(self) -> list[Decision]:
         """Decide on all that waits."""
-        if not self._waiting_since and not self._judge_anew:
+        if not self._waiting_since and not self._failures_stale:
             return []
-        if self._judge_anew:
+        if self._failures_stale:
             self._failures = failures_by_worker(
                 self.state.jobs_by_id.values(), self.state.hosts_by_name
             )
-            self._judge_anew = False
+            self._failures_stale = False
         ends, waiting = [], []
         for name in self._waiting_since:
             job = self.state.jobs_by_id[name]
-            end = self._end(job)
+            end = self._end_decision(job)
             if end is not None:
                 ends.append(end)
             else:
@@ -199,7 +201,7 @@
             host = self.state.hosts_by_name[decision.worker]
             body = host_body(host, "set_aside", host["pool"], decision.why)
             await self.operations.write(ticket, "host", body)
-            self._judge_anew = True
+            self._failures_stale = True
             return
         job = self.state.jobs_by_id.get(decision.job)
         if job is None:
@@ -208,7 +210,7 @@
         if isinstance(decision, Place) and isinstance(verdict, Accepted):
             self.placed_here[decision.job] = job["epoch"] + 1
 
-    def _body(self, decision: Place | Pause | End, job: JobState) -> JobBody:
+    def _body(self, decision: Place | Pause | EndJob, job: JobState) -> JobBody:
         body = JobBody(job=job["job"], base=job["epoch"], step="pause")
         if isinstance(decision, Place):
             body["step"] = "place"
@@ -217,7 +219,7 @@
             body["usage"] = Usage(
                 cores=decision.size.cores, memory_gb=decision.size.memory_gb, run_s=run_s
             )
-        elif isinstance(decision, End):
+        elif isinstance(decision, EndJob):
             body["step"] = "end"
             body["code"] = decision.code.number
             body["result"] = decision.why
@@ -244,9 +246,9 @@
     def _size(self, spec: JobSpec) -> Size:
         """The learned size, or the declared one when no worker is as large as the learned one."""
         size = self.usages.size(spec)
-        return size if self._capable(size) else declared(spec)
+        return size if self._fits_some_worker(size) else declared(spec)
 
-    def _capable(self, size: Size) -> bool:
+    def _fits_some_worker(self, size: Size) -> bool:
         return any(n > 0 and size.fits(capacity) for capacity, n in self._capacities.items())
 
     def _avoid(self, job: JobState) -> frozenset[str]:
@@ -255,7 +257,7 @@
         suspects = {w for w, f in self._failures.items() if self._is_avoided(w, f, may_probe)}
         failed_on = {a["worker"] for a in job["attempts"] if a["outcome"] == "failed"}
         for avoid in (failed_on | suspects, failed_on):
-            if avoid and self._leaves_any(job, avoid):
+            if avoid and self._fits_outside(job, avoid):
                 return frozenset(avoid)
         return frozenset()
 
@@ -266,35 +268,39 @@
         is_free = not self.rooms.jobs_on(worker)
         return failures.is_suspect and not (is_free and failures.may_probe(self._now()))
 
-    def _leaves_any(self, job: JobState, avoid: set[str]) -> bool:
+    def _fits_outside(self, job: JobState, avoid: set[str]) -> bool:
         size = self._size(job["spec"])
-        workers = self.rooms.capacity_by_worker
-        return any(size.fits(capacity) for w, capacity in workers.items() if w not in avoid)
+        capacity_by_worker = self.rooms.capacity_by_worker
+        return any(
+            size.fits(capacity) for w, capacity in capacity_by_worker.items() if w not in avoid
+        )
 
-    def _end(self, job: JobState) -> End | None:
+    def _end_decision(self, job: JobState) -> EndJob | None:
         state, spec = self.state, job["spec"]
         waited_s = self._now() - self._waiting_since[job["job"]]
-        if waited_s > NEVER_FITS_AFTER_S and self._knows_fleet() and not self._fits_any(spec):
+        if waited_s > NEVER_FITS_AFTER_S and self._is_fleet_known() and not self._fits_fleet(spec):
             size = f"{spec['cores']:g} cores, {spec['memory_gb']:g} GB"
             why = f"no worker has {size}, {spec['accelerators']} accelerators"
-            return End(job["job"], status_codes.JOB_NEVER_FITS, why)
+            return EndJob(job["job"], status_codes.JOB_NEVER_FITS, why)
         if not job["attempts"]:
             return None
         blamed = {worker for worker, f in self._failures.items() if f.is_proven}
         tries = tries_of(job, state.hosts_by_name, blamed)
         # Only a job that has failed often enough is worth a look at all workers.
-        is_close = tries.failed >= self.operations.settings.capacity.max_attempts
-        rooms = self.rooms.capacity_by_worker if is_close else {}
-        capable = [w for w, capacity in rooms.items() if declared(spec).fits(capacity)]
+        may_be_spent = tries.failed >= self.operations.settings.capacity.max_attempts
+        capacity_by_worker = self.rooms.capacity_by_worker if may_be_spent else {}
+        capable = [w for w, capacity in capacity_by_worker.items() if declared(spec).fits(capacity)]
         if tries.is_spent(self.operations.settings.capacity.max_attempts, capable):
             why = f"failed on {', '.join(sorted(tries.failed_on)) or 'workers that went down'}"
-            return End(job["job"], status_codes.JOB_FAILED_EVERYWHERE, why)
+            return EndJob(job["job"], status_codes.JOB_FAILED_EVERYWHERE, why)
         return None
 
-    def _fits_any(self, spec: JobSpec) -> bool:
-        return self._capable(declared(spec)) or self._capable(self.usages.size(spec))
+    def _fits_fleet(self, spec: JobSpec) -> bool:
+        return self._fits_some_worker(declared(spec)) or self._fits_some_worker(
+            self.usages.size(spec)
+        )
 
-    def _knows_fleet(self) -> bool:
+    def _is_fleet_known(self) -> bool:
         """Whether all workers that the platform shows are on the log, and there are some."""
         workers = self.operations.workers.by_id.keys()
         return bool(workers) and workers <= self.state.hosts_by_name.keys()
@@ -324,7 +330,7 @@
 
     def _running(self, name: str, worker: str) -> Running:
         job = self.state.jobs_by_id[name]
-        held = self.rooms.allocation(name)
+        allocation = self.rooms.allocation(name)
         started = job["attempts"][-1]["started"]
         step = pause_step(job, disruption_of(self.state, job))
         has_run = self._now() - started >= least_run_s(_pauses(job))
@@ -333,14 +339,14 @@
             job=name,
             worker=worker,
             urgency=job["spec"]["urgency"],
-            size=held[1] if held else declared(job["spec"]),
+            size=allocation[1] if allocation else declared(job["spec"]),
             started=started,
             ends=started + job.get("usage", {"run_s": job["spec"]["run_s"]})["run_s"],
             may_pause=may_pause,
             is_leaving=job["cancelled"] or (job["phase"] == "paused" and step is not None),
         )
 
-    def _held(self, job: JobState) -> Size:
+    def _allocated_size(self, job: JobState) -> Size:
         """The room that an attempt was given: as written with its placing."""
         usage = job.get("usage")
         spec = job["spec"]
--- a/mustardgap/planners.py
+++ b/mustardgap/planners.py
@@ -60,9 +60,9 @@
         """Take over one host from the state."""
         host = self._state.hosts_by_name.get(host_id)
         if host is not None:
-            self._fleet.put(host)
+            self._fleet.update_host(host)
         elif host_id in self._fleet.hosts_by_id:
-            self._fleet.drop(host_id)
+            self._fleet.remove_host(host_id)
 
     def plan(
         self,
@@ -80,7 +80,7 @@
         """
         fleet = self._fleet
         if self._declared:
-            fleet.declare(self._state.declarations_by_key)
+            fleet.update_declarations(self._state.declarations_by_key)
             self._declared = False
         draft = Draft(fleet=fleet, now=now, weights=weights)
         waves = Waves(draft=draft, waves=self._state.waves_by_name.values(), settings=self.settings)
@@ -152,7 +152,7 @@
     Where the budget has no margin and its service has room, another pool's host comes first.
     """
     fleet = draft.fleet
-    for name in sorted(fleet.crowded_names):
+    for name in sorted(fleet.overfull_group_names):
         group = fleet.groups_by_name[name]
         hosts = [fleet.hosts_by_id[h] for h in group.host_ids() if h not in draft.touched]
         for host in hosts:
@@ -171,7 +171,7 @@
     In turn: a host of their own whose drain can be taken back, the spare pool, a host that is being
     emptied already, and the surplus of the least urgent service.
     """
-    groups = [draft.fleet.groups_by_name[name] for name in draft.fleet.short_names]
+    groups = [draft.fleet.groups_by_name[name] for name in draft.fleet.short_group_names]
     if len(groups) > 1 and _is_plenty(draft, groups):
         start, pending = len(draft.steps), draft.pending
         _fill(draft, sorted(groups, key=_most_constrained_first))
@@ -215,10 +215,10 @@
     fleet = draft.fleet
     is_dear = draft.weights.buffer > draft.weights.move and not waves.held_names
     lacking = fleet.policy["spare_hosts"] - fleet.free_count - draft.pending - waves.lent
-    groups = [fleet.groups_by_name[name] for name in fleet.over_names]
+    groups = [fleet.groups_by_name[name] for name in fleet.surplus_group_names]
     for group in sorted(groups, key=least_urgent_first):
         name = group.requirement.name
-        while group.is_over:
+        while group.has_surplus:
             too_large = group.size > group.requirement.max_hosts
             wanted = lacking > 0 or is_dear
             if not too_large and (not wanted or name in waves.held_names):
@@ -285,7 +285,7 @@
         gain = group.margin_with(host) - group.margin
         name = group.requirement.name
         reason = f"{name} has {group.size} hosts and a margin of {group.margin}"
-        draft.assign(host, group.pool_for_next(), reason, gain)
+        draft.assign(host, group.pool_for_next_host(), reason, gain)
         if _missing(group) < best:
             best = _missing(group)
             useful = len(draft.steps)
@@ -300,7 +300,7 @@
         if host is None:
             break
         reason = f"{group.requirement.name} lacks {missing - moved} hosts and no spare is left"
-        draft.move(host, group.pool_for_next(), reason, 1)
+        draft.move(host, group.pool_for_next_host(), reason, 1)
         moved += 1
     return moved
 
--- a/mustardgap/plans.py
+++ b/mustardgap/plans.py
@@ -4,7 +4,7 @@
 
 from . import status_codes
 from .models import HostState, Phase
-from .placements import PLAN_REASON, SPARE_POOL, Fleet, Group
+from .placements import PLAN_REASON_PREFIX, SPARE_POOL, Fleet, Group
 from .requirements import DEFAULT_DRAIN_S
 
 # A host that came into service counts for a drain only when it has had this long to start.
@@ -84,12 +84,12 @@
 
     def drain(self, host: HostState, reason: str, *, wave: str = "", planned: bool = True) -> None:
         """Empty a host, for a wave or to give it back to the spare pool."""
-        text = PLAN_REASON + reason if planned and not wave else reason
+        text = PLAN_REASON_PREFIX + reason if planned and not wave else reason
         self._step(host, "drain", host["pool"], text, 0, "draining", wave)
 
     def move(self, host: HostState, pool: str, reason: str, gain: int = 0) -> None:
         """Empty a host for another pool."""
-        self._step(host, "move", pool, PLAN_REASON + reason, gain, "draining")
+        self._step(host, "move", pool, PLAN_REASON_PREFIX + reason, gain, "draining")
 
     def reboot(self, host: HostState, reason: str) -> None:
         """Reboot an empty host."""
@@ -135,12 +135,12 @@
         while len(self.steps) > count:
             step = self.steps.pop()
             self.touched.discard(step.host)
-            self.fleet.put(self._before.pop())
+            self.fleet.update_host(self._before.pop())
 
     def undo(self) -> None:
         """Take all steps back from the index."""
         while self._before:
-            self.fleet.put(self._before.pop())
+            self.fleet.update_host(self._before.pop())
 
     def _step(
         self,
@@ -163,7 +163,7 @@
         after["wave"] = wave
         self.touched.add(host["host"])
         self._before.append(host)
-        self.fleet.put(after)
+        self.fleet.update_host(after)
 
 
 def is_spare(step: Step) -> bool:
--- a/mustardgap/reasons.py
+++ b/mustardgap/reasons.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from .models import HostState
-from .placements import Fleet, Group, is_planned
+from .placements import Fleet, Group, is_drained_by_planner
 from .planners import plan
 from .plans import Step
 from .waves import INCLUDE_SHARE, visit_age
@@ -47,7 +47,11 @@
     group = fleet.groups_by_pool.get(host["pool"])
     if host["phase"] == "in_service" and group is not None:
         lines.append(_what_if_it_left(group, host))
-    elif host["phase"] in ("draining", "drained") and not host["wave"] and not is_planned(host):
+    elif (
+        host["phase"] in ("draining", "drained")
+        and not host["wave"]
+        and not is_drained_by_planner(host)
+    ):
         lines.append("it was emptied by an operator, or leaves: no plan touches it until undrained")
     steps = [s for s in plan(state=state, now=now).steps if s.host == name]
     return lines + [_describe(step) for step in steps]
--- a/mustardgap/registrars.py
+++ b/mustardgap/registrars.py
@@ -8,7 +8,7 @@
 from .models import HostBody, HostFacts, HostState, Phase, WorkerInfo
 from .operations import Operations
 from .outcomes import Rejected
-from .placements import PLAN_REASON
+from .placements import PLAN_REASON_PREFIX
 
 KEY = "registrar"
 BATCH = 200
@@ -20,7 +20,7 @@
 # that an operator has drained, and be left out for good; with a reason of the planner's it is free.
 REASON_BY_PHASE: dict[Phase, str] = {
     "in_service": "registered",
-    "drained": f"{PLAN_REASON}registered",
+    "drained": f"{PLAN_REASON_PREFIX}registered",
 }
 
 
--- a/mustardgap/waves.py
+++ b/mustardgap/waves.py
@@ -59,7 +59,7 @@
     def lent(self) -> int:
         """How many services a wave is at work on, each with a stand-in or a margin of its own."""
         groups = (self._fleet.groups_by_name[n] for n in self.held_names)
-        return sum(1 for group in groups if group.is_over or group.out_ids)
+        return sum(1 for group in groups if group.has_surplus or group.out_ids)
 
     def proceed(self) -> None:
         """Go on with the hosts that are out, then take out the next ones."""
@@ -136,11 +136,11 @@
 
     def _visit_order(self, name: str) -> tuple[bool, bool, float, str]:
         group = self._fleet.groups_by_name[name]
-        return not group.out_ids, not group.is_over, group.oldest_maintained() or 0.0, name
+        return not group.out_ids, not group.has_surplus, group.oldest_maintained() or 0.0, name
 
     def _visit(self, group: Group, limit: int) -> bool:
         """Take out what may go now; return whether the wave is at work on this group."""
-        if not group.is_over and (group.out_ids or self._fleet.short_names):
+        if not group.has_surplus and (group.out_ids or self._fleet.short_group_names):
             return self._is_busy(group)
         if not self._draft.is_settled(group):
             self._wait(group, "a host has only just come into service")
@@ -158,8 +158,8 @@
         return True
 
     def _is_busy(self, group: Group) -> bool:
-        if self._fleet.short_names:
-            short = ", ".join(sorted(self._fleet.short_names)[:5])
+        if self._fleet.short_group_names:
+            short = ", ".join(sorted(self._fleet.short_group_names)[:5])
             self._wait(group, f"{status_codes.WAVE_PAUSED_MARGIN}: {short} lacks hosts")
         return bool(group.out_ids)
 
@@ -169,7 +169,7 @@
         return min(possible, key=lambda h: (*_place(h), h["maintained"], h["host"]), default=None)
 
     def _send_stand_in(self, group: Group, due: dict[str, str]) -> bool:
-        if self._fleet.short_names:
+        if self._fleet.short_group_names:
             # Spare hosts are for the services that a failure has left short.
             return self._is_busy(group)
         if group.is_full:
@@ -211,16 +211,16 @@
         if host is None:
             return False
         reason = f"stands in while hosts of {group.requirement.name} are maintained"
-        self._draft.assign(host, group.pool_for_next(), reason)
+        self._draft.assign(host, group.pool_for_next_host(), reason)
         return True
 
     def _move_stand_in(self, group: Group, wanted: Wanted) -> bool:
-        idle = self._fleet.over_names - self.held_names
+        idle = self._fleet.surplus_group_names - self.held_names
         host = find_donation(self._draft, group, wanted, self.held_names)
         if host is None:
             return any(not self._draft.is_settled(self._fleet.groups_by_name[n]) for n in idle)
         reason = f"stands in while hosts of {group.requirement.name} are maintained"
-        self._draft.move(host, group.pool_for_next(), reason)
+        self._draft.move(host, group.pool_for_next_host(), reason)
         return True
 
     def _visit_spares(self, limit: int) -> None:
@@ -231,7 +231,7 @@
         due = [h for h in hosts if h["host"] in started or h["maintained"] < last]
         due = [h for h in due if h["phase"] == "in_service" and not self._draft.is_stuck(h)]
         # The last spare is the wave's only stand-in: it is done when no service needs it.
-        is_needed = bool(self.held_names or self._fleet.short_names)
+        is_needed = bool(self.held_names or self._fleet.short_group_names)
         if not due or len(self._fleet.out_ids) >= limit or (len(hosts) < 2 and is_needed):
             return
         host = min(due, key=lambda h: (h["maintained"], h["host"]))
