--- a/mustardgap/pacing.py
+++ b/mustardgap/pacing.py
@@ -1,4 +1,4 @@
-"""Slows tasks that fill idle capacity while they disturb tasks that serve users beside them."""
+"""Throttles filling tasks, which use idle capacity, when they slow serving tasks down."""
 
 from collections.abc import Iterable
 
@@ -6,21 +6,23 @@
 from .runs import Run, RunPhase
 from .timers import Clock
 
-# Filling tasks are slowed when a serving task's tail is above this share of its target, and given
-# more when all are below the lower one. Between the two nothing changes, so that the pace doesn't
-# swing with each figure.
+# Filling tasks are slowed down when the tail latency of a serving task beside them exceeds this
+# share of its target.
 HIGH_TAIL_RATIO = 0.85
+# They are sped up when all tail latencies are below this share. The gap between the two ratios
+# keeps the pace from oscillating with each report.
 LOW_TAIL_RATIO = 0.6
-# A disturbed server has to be relieved well within the seconds for which it may be over its
-# target; two looks at this factor leave a sixteenth.
+# Each slowdown multiplies the pace by this, so two of them leave a sixteenth: a serving task has to
+# recover well within the seconds for which it may exceed its target.
 SLOWDOWN_FACTOR = 0.25
 SPEEDUP_STEP_PERCENT = 15
-# The tail is a figure for the last half second: an earlier order shows in it after that.
+# The wait between two adjustments on one executor. The reported tail latency covers the last 0.5 s
+# and shows the effect of an adjustment only after that.
 SETTLE_S = 0.7
 
 
 class Pacing:
-    """Sets the pace of filling tasks, executor by executor.
+    """Sets the pace of filling tasks on each executor.
 
     :param clock: the clocks to read.
     """
@@ -30,7 +32,11 @@
         self._changed_at_by_executor: dict[str, float] = {}
 
     def look(self, links: Iterable[ExecutorLink], now: float) -> None:
-        """Adjust the pace on each executor by the tails that it last reported."""
+        """Adjust the pace on each executor to the tail latencies in its last report.
+
+        :param links: the executors of the shard.
+        :param now: monotonic seconds.
+        """
         for link in links:
             runs = [r for r in link.runs_by_key.values() if r.phase is RunPhase.RUNNING]
             filling_runs = [run for run in runs if run.task.step.filling]
@@ -53,7 +59,7 @@
 
 
 def _worst_tail_ratio(runs: list[Run]) -> float:
-    """The highest tail beside a target, as a share of the target."""
+    """The highest tail latency of the serving tasks, as a share of their target."""
     return max(
         (
             run.load / run.task.step.target_ms
@@ -66,7 +72,7 @@
 
 def _next_pace(pace: int, tail_ratio: float) -> int:
     if pace < 0:
-        # The last order's outcome isn't known.
+        # The outcome of the last order is unknown.
         return 0 if tail_ratio > HIGH_TAIL_RATIO else SPEEDUP_STEP_PERCENT
     if tail_ratio > HIGH_TAIL_RATIO:
         return int(pace * SLOWDOWN_FACTOR) if pace > 5 else 0
--- a/mustardgap/placement_caches.py
+++ b/mustardgap/placement_caches.py
@@ -1,4 +1,4 @@
-"""The executors that one pass of placing can use, and what doesn't fit on any of them."""
+"""Caches the usable executors of one placement pass and the sizes that fit on none of them."""
 
 from collections.abc import Iterable
 
@@ -8,13 +8,14 @@
 
 
 class PlacementCache:
-    """Answers for all steps of one pass, in which executors only get fuller.
+    """Caches lookups for the steps of one placement pass.
 
-    Nothing but the pass itself changes an executor while it runs, so which executors a kind of step
-    may use is looked up once, and a room that fits nowhere needn't be tried again.
+    During a pass only the pass itself changes executors, and their free capacity only shrinks. So
+    the usable executors for a service and required label are looked up once, and a size that fitted
+    on none of them isn't tried again.
 
     :param links: the executors of the shard.
-    :param now: steady seconds.
+    :param now: monotonic seconds.
     """
 
     def __init__(self, *, links: Iterable[ExecutorLink], now: float) -> None:
@@ -24,23 +25,23 @@
         self._too_large_by_kind: dict[tuple[str, str], list[Room]] = {}
 
     def usable(self, step: Step, service: str) -> list[ExecutorLink]:
-        """The executors for new runs of a step, those that are paused only if all are."""
+        """The executors that accept new runs of a step; paused ones only if all are paused."""
         kind = (service, step.requires)
         found = self._usable_by_kind.get(kind)
         if found is None:
             every = [link for link in self._links if usable(link, step, service)]
-            # Where every executor is under suspicion, trying is better than waiting.
+            # If all executors are paused, using them is better than starting nothing.
             found = [link for link in every if self._now >= link.pause_until] or every
             self._usable_by_kind[kind] = found
         return found
 
     def is_too_large(self, step: Step, service: str) -> bool:
-        """Whether the step's tasks, or smaller ones, were found to fit nowhere."""
+        """Whether tasks of this size, or smaller ones, have already been found to fit nowhere."""
         rooms = self._too_large_by_kind.get((service, step.requires), ())
         return any(step.room.holds(room) for room in rooms)
 
     def note_unplaced(self, step: Step, service: str) -> None:
-        """Remember that tasks found no executor, if that was for want of room."""
+        """Record that tasks of a step weren't placed, if none of its executors has the capacity."""
         room = step.room
         if not any(link.holds(room) for link in self.usable(step, service)):
             self._too_large_by_kind.setdefault((service, step.requires), []).append(room)
--- a/mustardgap/placing.py
+++ b/mustardgap/placing.py
@@ -1,4 +1,4 @@
-"""Which waiting task goes next, and on which executor."""
+"""Orders waiting jobs by urgency and chooses executors for their tasks."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
@@ -9,16 +9,19 @@
 from .policies import WHOLE, Mechanism, Policy
 from .workloads import Queue, Step
 
-# Up to this many times its objective a job earns a little; after that only its promise counts.
+# A job that ends within this many times its objective still has some value. A later one has none,
+# but has been accepted and still has to end.
 LATE_FACTOR = 3.0
-# A job with less slack than this has to begin now: estimates are off by some tenths of a second.
+# A job with less slack than this is started first, because run time estimates are off by tenths of
+# a second.
 CRITICAL_SLACK_S = 0.3
-# An executor whose last run failed isn't trusted for so long; tasks may lie idle for 3 s at most.
+# How long an executor is restricted after a failed run. Shorter than the 3 s for which a task may
+# lie idle, since all executors may be restricted at once.
 DISTRUST_S = 1.5
 
 
 class PlacementKey(NamedTuple):
-    """Orders jobs; the smallest goes first."""
+    """Sort key of a job; the smallest goes first."""
 
     category: int
     priority: int
@@ -30,9 +33,10 @@
 
 
 class Timeliness(NamedTuple):
-    """Where a job stands against its objective.
+    """How a job compares with its objective.
 
-    ``slack_s`` is how long it may still wait, ``work`` the core-seconds that it needs.
+    ``category`` is IN_TIME, LATE or TOO_LATE, ``slack_s`` how long the job may still wait, and
+    ``work`` the core-seconds that it still needs.
     """
 
     category: int
@@ -41,12 +45,12 @@
 
 
 def objective_s(job: Job, queue: Queue) -> float:
-    """Within how many seconds a job's caller wants it done."""
+    """The seconds within which a job should be done."""
     return queue.stretch * job.chain_s + queue.objective_s
 
 
 def timeliness_of(job: Job, queue: Queue, wall: float) -> Timeliness:
-    """Whether a job can still be in time.
+    """Assess whether a job can still be done within its objective.
 
     :param wall: seconds since the epoch.
     """
@@ -67,18 +71,20 @@
     wall: float,
     policy: Policy = WHOLE,
 ) -> list[Job]:
-    """Sort jobs by who gets room first.
+    """Sort jobs by the order in which they get capacity.
 
-    Lasting tasks come first, then jobs that can be in time, then late ones. While the work that
-    waits can be done within the slack of those that wait, the job with the least work left goes
-    first, unless another has hardly any slack left: so most are in time, and wide ones too. Under
-    overload that would starve wide jobs, and begin each job when its time is nearly over. Then what
-    has begun is ended first, and the newest begins first, whatever its size.
+    Jobs with long-running tasks come first, then jobs that can be in time, then late ones. Without
+    overload, the job with the least work left goes first, unless another has hardly any slack: so
+    most jobs, also wide ones, are in time. Under overload, this order would starve wide jobs and
+    start each job when its time is nearly over. Then jobs that have begun go first, those
+    with the least slack before others, followed by those that haven't begun, the newest first,
+    whatever their size.
 
-    :param queue_of: a job's queue, None if it isn't configured any more.
+    :param jobs: the jobs that wait for capacity.
+    :param queue_of: returns a job's queue, None if it isn't configured any more.
     :param cores_by_service: the cores of each service's usable executors.
     :param wall: seconds since the epoch.
-    :param policy: what takes part.
+    :param policy: the mechanisms that are enabled.
     """
     ordered = list(jobs)
     timeliness_by_job = {
@@ -111,7 +117,11 @@
     timeliness_by_job: Mapping[str, Timeliness],
     cores_by_service: Mapping[str, float],
 ) -> set[str]:
-    """The services whose waiting jobs can't all be in time."""
+    """The services whose waiting jobs can't all be in time.
+
+    A service is overloaded when its waiting work exceeds what its cores do within the mean slack of
+    the jobs that wait.
+    """
     work: Counter[str] = Counter()
     slack: Counter[str] = Counter()
     waiting: Counter[str] = Counter()
@@ -130,12 +140,12 @@
 
 
 def usable(link: ExecutorLink, step: Step, service: str) -> bool:
-    """Whether an executor may get new runs of a step that needn't be kept apart from others."""
+    """Whether an executor accepts new runs of tasks that aren't suspected of crashes."""
     return not link.reserved and not link.on_trial and is_eligible(link, step, service)
 
 
 def is_eligible(link: ExecutorLink, step: Step, service: str) -> bool:
-    """Whether an executor may get new runs of a step at all."""
+    """Whether an executor accepts new runs of a step, even if it is reserved for suspects."""
     return (
         link.up
         and link.listed
@@ -159,23 +169,24 @@
     *,
     spread: bool = False,
 ) -> Iterator[tuple[Task, ExecutorLink]]:
-    """Choose executors for the tasks of one step, one after another, until one finds no room.
-
-    Each choice has to be started before the next one is asked for. Equal tasks share one ranking:
-    the executor that was best for one stays the best for the next, for as long as it has room.
-    Ranked for each task anew, a pass over 180 jobs and as many executors takes 365 ms.
-
-    :param tasks: tasks of the step that wait.
-    :param siblings: all tasks of the step, for its bound of tasks on one executor.
-    :param links: executors that may be used for them.
-    :param departing: executors that will be taken away soon.
-    :param now: steady seconds.
-    :param spread: whether executors have been crashing, so that those with least work are best.
+    """Choose executors for the tasks of one step, one by one, until a task fits on none.
+
+    The caller must start each task before it asks for the next choice. Equal tasks share one
+    ranking, since the best executor for one stays the best for the next while it has capacity.
+    With a ranking for each task, a pass over 180 jobs and 180 executors takes 365 ms.
+
+    :param tasks: the waiting tasks of the step.
+    :param siblings: all tasks of the step, to apply its limit of tasks on one executor.
+    :param links: the executors to choose from.
+    :param departing: the executors that will be removed soon.
+    :param now: monotonic seconds.
+    :param spread: whether executors crash often, so that the least loaded ones are preferred.
+    :return: the tasks that fit, each with its executor.
     """
     counts = Counter(t.run.link.entry.executor for t in siblings if t.run is not None)
     ranking: _Ranking | None = None
     for task in tasks:
-        # What has failed or stood still somewhere has executors of its own to avoid.
+        # A task that failed or stalled avoids executors of its own, so it needs a ranking of its own.
         shares_ranking = not task.avoided and not task.failures
         if ranking is None or not shares_ranking:
             ranking = _Ranking(links, task, departing, spread)
@@ -195,14 +206,14 @@
     departing: frozenset[str],
     now: float,
 ) -> ExecutorLink | None:
-    """Choose an executor for one task as ``choose_executors`` does, None when none has room."""
+    """Choose an executor for one task as ``choose_executors`` does, None if it fits on none."""
     for _, link in choose_executors([task], siblings, links, departing, now):
         return link
     return None
 
 
 class _Ranking:
-    """The executors that hold a task, the best first."""
+    """The executors with enough free capacity for a task, ordered by preference."""
 
     def __init__(
         self, links: Sequence[ExecutorLink], task: Task, departing: frozenset[str], spread: bool
@@ -214,7 +225,7 @@
         )
 
     def best(self, task: Task, counts: Counter[str], now: float) -> ExecutorLink | None:
-        """The best executor that still has room for the task, None if there is none."""
+        """The best executor that still has capacity for the task, None if there is none."""
         step = task.step
         room = step.room
         while self._best_last:
@@ -230,10 +241,10 @@
 
 
 def _trusted(link: ExecutorLink, task: Task, now: float) -> bool:
-    # An executor whose last run failed may fail all that it starts. It gets one run at a time, of a
-    # task that can still afford a failure, until one succeeds; so a sick one costs a job at most
-    # one of its attempts, and a healthy one that met a bad job is back after one success. Where all
-    # have failed something, tasks that failed would wait for ever; so distrust ends by itself.
+    # An executor whose last run failed may fail every run. Until a run succeeds, it gets one run at
+    # a time, and only of a task without failures. So a faulty executor costs a job at most one
+    # attempt, and a sound one that ran a faulty job is back after one success. The restriction
+    # expires, because tasks with failures would wait for ever if all executors had failed a run.
     if not link.failures_in_a_row or now - link.failed_at > DISTRUST_S:
         return True
     return not link.runs_by_key and not task.failures
@@ -248,15 +259,15 @@
     return (
         link.entry.executor in task.avoided or link.entry.machine in task.avoided,
         link.slow_marks > 0,
-        # Short tasks may as well run where lasting ones can't stay.
+        # Long-running tasks avoid departing executors; short ones prefer them.
         leaves_soon if step.lasting else not leaves_soon and bool(departing),
         bool(step.data_rack) and link.entry.rack != step.data_rack,
-        # Lasting tasks share few machines, so that the others can leave the pool.
+        # Long-running tasks share few machines, so that the others can leave the pool.
         step.lasting and not link.lasting_runs,
-        # What lasts is best left alone by what may crash its executor.
+        # While executors crash often, short tasks avoid those with long-running tasks.
         spread and not step.lasting and link.lasting_runs > 0,
-        # The fullest machine that fits: the emptiest ones can leave the pool. But a task that
-        # crashes its executor takes all that runs there, so then the emptiest.
+        # The fullest executor that fits, so that empty machines can leave the pool. While executors
+        # crash often, the emptiest: a task that crashes its executor ends all other runs there.
         -free_cpu if spread and not step.lasting else free_cpu,
     )
 
@@ -264,9 +275,11 @@
 def choose_gang_executors(
     tasks: Sequence[Task], links: Sequence[ExecutorLink]
 ) -> list[ExecutorLink] | None:
-    """Choose executors for all tasks of a gang, None when there is no room for all.
+    """Choose executors for all tasks of a gang.
 
-    :return: one link a task, in the order of the tasks.
+    :param tasks: the tasks of the gang, all of one step.
+    :param links: the executors to choose from.
+    :return: one link per task, in the order of the tasks; None if they don't all fit.
     """
     step = tasks[0].step
     racks = sorted({link.entry.rack for link in links})
--- a/mustardgap/task_starters.py
+++ b/mustardgap/task_starters.py
@@ -1,4 +1,4 @@
-"""Places the tasks of one shard: who goes first, and on which executor."""
+"""Starts the waiting tasks of one shard on executors."""
 
 from typing import TYPE_CHECKING
 
@@ -17,16 +17,16 @@
 if TYPE_CHECKING:
     from .dispatchers import Dispatcher
 
-# Run numbers rise with the epoch, so that those of a new owner are above all earlier ones.
+# Run numbers begin at the epoch times this, so that a new owner's numbers exceed all earlier ones.
 RUN_NUMBERS_PER_EPOCH = 100_000
 
 
 class TaskStarter:
-    """Starts what waits and has room, in passes over all jobs.
+    """Starts waiting tasks that fit on an executor, in passes over all jobs.
 
-    :param dispatcher: the shard's owner.
+    :param dispatcher: the dispatcher of the shard.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the event log of the process.
     """
 
     def __init__(self, *, dispatcher: "Dispatcher", clock: Clock, events: EventLog) -> None:
@@ -36,7 +36,7 @@
         self._run_count = 0
 
     def place(self) -> None:
-        """Start what waits and has room, the most urgent first."""
+        """Make one pass: start the waiting tasks that fit, the most urgent jobs first."""
         configuration = self._dispatcher.configuration
         if configuration is None or self._dispatcher.authority_s() <= 0:
             return
@@ -67,16 +67,17 @@
             self._request_upcoming_tickets(job)
 
     def _end_if_exhausted(self, job: Job, steps: list[list[Task]]) -> bool:
-        # A new owner hears of failures before it knows how many the queue allows, which the
-        # configuration says; a job that was over by then would be started once more. All steps are
-        # looked at before any is placed: what was started of one step would outlive the job.
+        # A new owner may learn of failures before it has read the configuration, which says how
+        # many the queue allows. Without this check, it would start tasks of a job that has already
+        # failed too often. All steps are checked before any is placed, because tasks started for
+        # one step would run on after the job has ended.
         if not job.has_failures:
             return False
         queue = self._dispatcher.queue_of(job)
         if not any(task.waits and exhausted(task, queue) for tasks in steps for task in tasks):
             return False
         self._dispatcher.finish(
-            job, JobPhase.FAILED, "a task had failed too often under earlier owners"
+            job, JobPhase.FAILED, "a task failed too often under earlier owners"
         )
         return True
 
@@ -91,10 +92,10 @@
         return False
 
     def _place_suspects(self, job: Job, steps: list[list[Task]]) -> bool:
-        """Start tasks of a job under which executors have crashed, apart from others.
+        """Start the job's tasks that are suspected of crashing executors, isolated from others.
 
-        :return: whether the job's other tasks wait until these are at work: a job that may have to
-            be given up had better not take the room of others.
+        :return: whether the job's other tasks have to wait until the suspects are at work. The job
+            may have to be failed, and its tasks would take capacity from other jobs.
         """
         others_wait = False
         for tasks in steps:
@@ -155,7 +156,7 @@
             cache.note_unplaced(step, job.service)
 
     def usable_links(self, step: Step, job: Job) -> list[ExecutorLink]:
-        """The executors that may get new runs of a job's step, those that are paused among them."""
+        """The executors that accept new runs of a job's step, including paused ones."""
         return [
             link
             for link in self._dispatcher.roster.links_by_executor.values()
@@ -163,7 +164,7 @@
         ]
 
     def _request_upcoming_tickets(self, job: Job) -> None:
-        """Have tickets asked for the steps that come next, so that they needn't wait for them."""
+        """Request tickets for the steps that come next, so that their start isn't delayed."""
         queue = self._dispatcher.queue_of(job)
         if queue is None or queue.advice is None or not job.begun:
             return
@@ -174,14 +175,14 @@
     def _links_with_ticket(
         self, task_id: TaskId, links: list[ExecutorLink], policy: AdvicePolicy
     ) -> list[ExecutorLink]:
-        """The executors with a ticket for a task's step; tickets that lack are asked for."""
+        """Return the executors with a ticket for a task's step, and request the missing tickets."""
         key = StepKey.of(task_id)
         best = sorted(links, key=lambda link: -link.free.cpu)
         self._dispatcher.advices.want(key, [link.entry.executor for link in best], policy)
         return [link for link in links if self._dispatcher.advices.ticket(key, link.entry.executor)]
 
     def _place_gang(self, job: Job, tasks: list[Task], links: list[ExecutorLink]) -> None:
-        # A gang restarts as a whole, when all its earlier runs have ended.
+        # A gang is restarted as a whole, after all its earlier runs have ended.
         if not all(task.waits and task.on_record for task in tasks):
             return
         chosen = choose_gang_executors(tasks, links)
@@ -220,7 +221,7 @@
 
 
 def _may_start(task: Task) -> bool:
-    """Whether a task waits that needn't be started apart from others."""
+    """Whether a task waits and can be started without isolation."""
     if not task.waits:
         return False
     return not task.crashes or (task.on_record and not is_suspect(task))
