--- a/features/jobs.feature
+++ b/features/jobs.feature
@@ -101,7 +101,7 @@
 
   Scenario Outline: Declared sizes <declared> times too large are corrected to <ratio>
     Given jobs whose declared sizes are <declared> times what they use
-    Then jobs of that kind are given <ratio> of the declared cores, and others all
+    Then jobs of that kind are allocated <ratio> of their declared cores, and other jobs all of them
 
     Examples:
       | declared | ratio |
@@ -111,14 +111,14 @@
 
   Scenario: The queue against a naive version
     Given jobs and workers of random sizes
-    Then jobs are never placed beyond a worker's room, and none waits where it would have fitted first
+    Then jobs never exceed the free capacity of their worker, and none waits that fits in queue order
 
   Scenario: Workers are kept for jobs that wait behind the first
     All work would stand still while all workers are free. Each is kept for a job further back,
     which waits for the first, which finds none. Only a job before it may hold one up.
 
     Given jobs and workers of random sizes
-    Then jobs that are first are placed where there is room, whatever is kept for later ones
+    Then jobs that are first are placed where they fit, whatever workers are reserved for later jobs
 
   Scenario Outline: Leases of many jobs are renewed while <trouble>
     A fleet's running jobs would keep each daemon busy all the time, or lapse. Every daemon looked
--- a/features/steps/job_queues_steps.py
+++ b/features/steps/job_queues_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the queue of jobs and on learned sizes, against naive versions."""
+"""Steps that check the job queue and learned job sizes against naive implementations."""
 
 from behave import given, then
 from hypothesis import given as for_all
@@ -17,12 +17,16 @@
     context.spec |= {"accelerators": 0, "run_s": 60.0}
     used = {"cores": 4.0 / declared, "memory_gb": 8.0 / declared, "run_s": 60.0 / declared}
     for n in range(20):
-        assert n > 7 or context.usages.size(context.spec).cores == 4.0, "too few to tell"
+        assert (
+            n > 7 or context.usages.size(context.spec).cores == 4.0
+        ), "size learned from fewer than 8 jobs"
         context.usages.learn(f"j{n}", context.spec, {**used, "cores": 0.0})
         context.usages.learn(f"j{n}", context.spec, used)
 
 
-@then("jobs of that kind are given {ratio:g} of the declared cores, and others all")
+@then(
+    "jobs of that kind are allocated {ratio:g} of their declared cores, and other jobs all of them"
+)
 def step_learned(context, ratio):
     size = context.usages.size(context.spec)
     assert abs(size.cores - 4.0 * ratio) < 1e-6, size
@@ -45,7 +49,7 @@
 
 
 @then(
-    "jobs are never placed beyond a worker's room, and none waits where it would have fitted first"
+    "jobs never exceed the free capacity of their worker, and none waits that fits in queue order"
 )
 def step_queue(context):
     @hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
@@ -82,7 +86,7 @@
     check()
 
 
-@then("jobs that are first are placed where there is room, whatever is kept for later ones")
+@then("jobs that are first are placed where they fit, whatever workers are reserved for later jobs")
 def step_first(context):
     @hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
     @for_all(jobs=JOBS, capacities=CAPACITIES, kept=st.lists(st.integers(0, 11), max_size=4))
--- a/mustardgap/placements.py
+++ b/mustardgap/placements.py
@@ -1,4 +1,4 @@
-"""Which hosts serve whom, indexed so that one changed host costs a constant effort."""
+"""Indexes of the hosts by service and job pool, updated in constant time per changed host."""
 
 import heapq
 from collections import Counter
@@ -13,17 +13,17 @@
 
 
 def is_drained_by_planner(host: HostState) -> bool:
-    """Whether the planner itself emptied this host, so that it may give it to another pool.
+    """Whether the planner drained this host, and so may assign it to another pool.
 
-    A host that an operator drained stays out until the operator takes it back.
+    A host that an operator drained stays out of service until the operator returns it.
     """
     return host["reason"].startswith(PLAN_REASON_PREFIX) and not host["wave"]
 
 
 class Group:
-    """The hosts in service of one requirement, counted by failure domain.
+    """The hosts in service for one requirement, counted by failure domain.
 
-    :param requirement: the service or job pool.
+    :param requirement: what the service or job pool needs.
     """
 
     def __init__(self, *, requirement: Requirement) -> None:
@@ -66,19 +66,19 @@
 
     @property
     def loss(self) -> int:
-        """How many hosts go with the largest failure domain."""
+        """How many hosts are lost with the largest failure domain."""
         if self.requirement.survive == "none":
             return 0
         return min(self.size, 1) if self.requirement.survive == "host" else self.max_domain_size
 
     @property
     def margin(self) -> int:
-        """Hosts left over when the largest domain is lost; below 0 the budget doesn't hold."""
+        """Hosts to spare once the largest domain is lost; below 0 the budget is broken."""
         return self.size - self.loss - self.requirement.min_hosts
 
     @property
     def is_short(self) -> bool:
-        """Whether it needs another host."""
+        """Whether the group needs another host, for its budget or for the minimum of a pool."""
         if self.margin < 0:
             return True
         pools = self.requirement.pools
@@ -86,19 +86,19 @@
 
     @property
     def has_surplus(self) -> bool:
-        """Whether a host could leave without breaking the budget, the pools' sizes aside."""
+        """Whether a host could leave without breaking the budget, ignoring the pools' minimums."""
         if self.size > self.requirement.max_hosts or self.margin > 0:
             return True
         return self.margin == 0 and self._has_single_largest_domain
 
     @property
     def is_full(self) -> bool:
-        """Whether it holds all the room it may; a draining host holds its room still."""
+        """Whether the group has as many hosts as it may; draining hosts still count."""
         return self.size + self.draining_by_pool.total() >= self.requirement.max_hosts
 
     @property
     def overfull_pools(self) -> list[str]:
-        """The pools that hold more hosts than they may."""
+        """The pools with more hosts than their maximum."""
         pools = self.requirement.pools
         return [name for name in pools if self.size_by_pool[name] > pools[name].max_hosts]
 
@@ -119,7 +119,7 @@
         return left - loss - self.requirement.min_hosts
 
     def margin_with(self, host: HostState) -> int:
-        """The margin if this host came."""
+        """The margin if this host joined."""
         if self.requirement.survive in ("none", "host"):
             return self.margin + (1 if self.size or self.requirement.survive == "none" else 0)
         ids = self.ids_by_domain.get(domain_of(host["facts"], self.requirement.survive), ())
@@ -132,11 +132,11 @@
         return self.margin_without(host) >= 0
 
     def host_ids(self) -> list[str]:
-        """All hosts in service, in order."""
+        """The ids of all hosts in service, sorted."""
         return sorted(host for ids in self.ids_by_domain.values() for host in ids)
 
     def largest_domain_ids(self) -> list[str]:
-        """The hosts of the domains that hold the most, in order."""
+        """The ids of the hosts in the largest domains, sorted by domain."""
         full = [d for d, ids in self.ids_by_domain.items() if len(ids) == self.max_domain_size]
         return [host for domain in sorted(full) for host in sorted(self.ids_by_domain[domain])]
 
@@ -149,7 +149,10 @@
         return min(short or room or pools)
 
     def oldest_maintained(self) -> float | None:
-        """When the host in service that has waited longest was maintained, None without hosts."""
+        """When the host that has waited longest for maintenance was last maintained.
+
+        :return: seconds since the epoch, None without hosts in service.
+        """
         while self._maintenance_heap:
             maintained, host_id = self._maintenance_heap[0]
             if self._maintained_by_id.get(host_id) == maintained:
@@ -178,13 +181,14 @@
 
 
 class Fleet:
-    """All hosts, indexed by what they are used for.
+    """All hosts, indexed by their use.
 
-    Reading it from the state costs time in step with the fleet; after that ``put`` costs the same
-    for any size, so that a daemon follows the log instead of starting anew for each plan.
+    Building the indexes takes time proportional to the size of the fleet, ``update_host`` takes
+    constant time. So a daemon applies the records of the log as they come instead of rebuilding the
+    indexes for each plan.
 
     :param declarations_by_key: the declarations in force.
-    :param hosts: the folded hosts.
+    :param hosts: the hosts of the folded state.
     """
 
     def __init__(self, *, declarations_by_key: Declared, hosts: Iterable[HostState]) -> None:
@@ -208,7 +212,7 @@
         self._update_all_statuses()
 
     def update_declarations(self, declarations_by_key: Declared) -> None:
-        """Take over changed declarations; only a changed requirement costs more than a look."""
+        """Apply changed declarations; the indexes are rebuilt only if a requirement has changed."""
         self.policy = read_policy(declarations_by_key)
         requirements = read_requirements(declarations_by_key)
         if requirements == self._requirements:
@@ -224,13 +228,13 @@
 
     @property
     def free_count(self) -> int:
-        """How many hosts can be assigned at once."""
+        """How many hosts can be assigned immediately."""
         return sum(len(ids) for ids in self.free_ids_by_rack.values())
 
     def update_host(self, host: HostState) -> HostState | None:
-        """Take over a host's new state.
+        """Apply a host's new state.
 
-        :return: its state before, None for a new host.
+        :return: its previous state, None for a new host.
         """
         before = self.hosts_by_id.get(host["host"])
         if before is not None:
@@ -243,7 +247,7 @@
         return before
 
     def remove_host(self, host_id: str) -> None:
-        """Forget a host."""
+        """Remove a host from all indexes."""
         host = self.hosts_by_id[host_id]
         self._unindex(host)
         del self.hosts_by_id[host_id]
@@ -252,7 +256,7 @@
             self._update_status(group)
 
     def is_free(self, host: HostState) -> bool:
-        """Whether a host can be assigned at once: in the spare pool, or emptied by a plan."""
+        """Whether a host can be assigned immediately: spare, or drained by the planner."""
         if host["phase"] == "in_service":
             return host["pool"] == SPARE_POOL
         return host["phase"] == "drained" and is_drained_by_planner(host)
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -1,4 +1,4 @@
-"""Keeps the queue of jobs and writes where each one goes, which make way, and which end."""
+"""Decides which queued jobs are placed, paused or ended, and writes the decisions to the log."""
 
 import asyncio
 import time
@@ -20,12 +20,14 @@
 from .usages import Size, Usages, declared
 
 KEY = "placer"
-# A job is told that it never fits only when the fleet has been known for this long.
+# A job ends as one that never fits only after it has waited for this long: until the whole fleet
+# is known, a worker that fits may be missing.
 NEVER_FITS_AFTER_S = 10.0
-# How often the queue is looked at when nothing has changed.
+# The interval between passes over the queue when nothing has changed.
 IDLE_INTERVAL_S = 2.0
 MAX_WRITES_PER_PASS = 100
-# A long pass is followed by a rest so many times as long, so that requests aren't held up.
+# A pass is followed by a pause of at least this many times its duration, so that long passes don't
+# delay requests.
 REST_FACTOR = 10.0
 
 
@@ -38,7 +40,7 @@
 
 
 class SetAside(NamedTuple):
-    """Set a worker aside that fails everything."""
+    """Set aside a worker that fails every job."""
 
     worker: str
     why: str
@@ -48,13 +50,14 @@
 
 
 class Placer:
-    """Follows jobs and hosts and decides on the queue.
+    """Follows the state of jobs and hosts and decides on the queue.
 
-    One daemon decides for all jobs, since urgency and quotas hold over the whole fleet; two that
-    both do are sorted out by the jobs' epochs on the log and the room on the platform.
+    One daemon decides for all jobs, because urgency and quotas apply to the whole fleet. If two
+    daemons decide at once, conflicts are resolved by the jobs' epochs on the log and by the
+    platform's own capacity check.
 
     :param operations: writes records.
-    :param duties: says whose turn it is.
+    :param duties: says whether this daemon has to act.
     """
 
     def __init__(self, *, operations: Operations, duties: Duties) -> None:
@@ -80,7 +83,7 @@
         return self.operations.log.state
 
     def restart(self) -> None:
-        """Follow a new state from its beginning."""
+        """Rebuild everything from a new state."""
         self.rooms = Rooms()
         self._waiting_since.clear()
         self._jobs_by_team.clear()
@@ -94,7 +97,7 @@
         self.follow_hosts(set(self.state.hosts_by_name) | set(self.operations.workers.by_id))
 
     def follow_jobs(self, names: set[str]) -> None:
-        """Take in that these jobs have changed on the log."""
+        """Update what is known of jobs that have changed on the log."""
         self._is_changed = True
         for name in names:
             job = self.state.jobs_by_id.get(name)
@@ -115,7 +118,7 @@
                 self._failures_stale = True
 
     def follow_hosts(self, names: set[str]) -> None:
-        """Take in that these hosts or workers have changed."""
+        """Update what is known of hosts or workers that have changed."""
         self._is_changed = True
         for name in names:
             host = self.state.hosts_by_name.get(name)
@@ -136,13 +139,13 @@
                 self.rooms.remove_worker(name)
 
     def learn(self, task: TaskInfo) -> None:
-        """Learn from what a task that is done has used; its usage comes in late."""
+        """Learn from the usage of a task that is done; usage may be reported after the end."""
         job = self.state.jobs_by_id.get(task["job"])
         if job is not None and task["state"] == "done":
             self.usages.learn(task["job"], job["spec"], task["usage"])
 
     def due(self) -> list[Decision]:
-        """The decisions that this daemon should write now."""
+        """The decisions that this daemon should write now, at most MAX_WRITES_PER_PASS."""
         rank = self.duties.rank(KEY)
         now = self.operations.timers.clock.monotonic()
         interval_s = IDLE_INTERVAL_S if rank == 0 and not self._is_changed else self._min_pause_s
@@ -161,7 +164,7 @@
         return decisions[:MAX_WRITES_PER_PASS] if self.duties.is_due(KEY, key) else []
 
     def decide(self) -> list[Decision]:
-        """Decide on all that waits."""
+        """Decide on all waiting jobs and on faulty workers."""
         if not self._waiting_since and not self._failures_stale:
             return []
         if self._failures_stale:
@@ -188,11 +191,11 @@
         return [*ends, *self._set_asides(), *queue.decide(waiting)]
 
     async def act(self, decisions: list[Decision]) -> None:
-        """Write decisions together."""
+        """Write decisions concurrently."""
         self.duties.take(KEY)
         await asyncio.gather(*(self._write(decision) for decision in decisions))
         self._is_changed = True
-        # What was decided is done, whatever came of it; the next pass is a new step.
+        # These decisions have been written, accepted or not; the next pass begins a new step.
         self.duties.drop(KEY)
 
     async def _write(self, decision: Decision) -> None:
@@ -244,7 +247,7 @@
         )
 
     def _size(self, spec: JobSpec) -> Size:
-        """The learned size, or the declared one when no worker is as large as the learned one."""
+        """The learned size, or the declared one if the learned one fits on no worker."""
         size = self.usages.size(spec)
         return size if self._fits_some_worker(size) else declared(spec)
 
@@ -252,7 +255,11 @@
         return any(n > 0 and size.fits(capacity) for capacity, n in self._capacities.items())
 
     def _avoid(self, job: JobState) -> frozenset[str]:
-        """The workers that the job has failed on, and those under suspicion, unless that is all."""
+        """The workers that a job should avoid: those that it has failed on, and suspect ones.
+
+        Suspect ones aren't avoided if the job fits on no other worker, and none is avoided if it
+        fits only on those that it has failed on.
+        """
         may_probe = job["spec"]["idempotent"] and not job["attempts"]
         suspects = {w for w, f in self._failures.items() if self._is_avoided(w, f, may_probe)}
         failed_on = {a["worker"] for a in job["attempts"] if a["outcome"] == "failed"}
@@ -262,7 +269,12 @@
         return frozenset()
 
     def _is_avoided(self, worker: str, failures: Failures, may_probe: bool) -> bool:
-        """Whether a job keeps off a worker; one that has only one run keeps off it sooner."""
+        """Whether a job avoids a worker on which jobs have failed.
+
+        :param may_probe: whether the job may test such a worker: it is idempotent and hasn't been
+            tried yet. Only then does it accept a worker that isn't suspect yet, or one that is idle and
+            due for a probe.
+        """
         if not may_probe:
             return True
         is_free = not self.rooms.jobs_on(worker)
@@ -286,7 +298,7 @@
             return None
         blamed = {worker for worker, f in self._failures.items() if f.is_proven}
         tries = tries_of(job, state.hosts_by_name, blamed)
-        # Only a job that has failed often enough is worth a look at all workers.
+        # All workers are checked only for a job that has failed often enough.
         may_be_spent = tries.failed >= self.operations.settings.capacity.max_attempts
         capacity_by_worker = self.rooms.capacity_by_worker if may_be_spent else {}
         capable = [w for w, capacity in capacity_by_worker.items() if declared(spec).fits(capacity)]
@@ -301,7 +313,7 @@
         )
 
     def _is_fleet_known(self) -> bool:
-        """Whether all workers that the platform shows are on the log, and there are some."""
+        """Whether the platform lists workers, and all of them are on the log."""
         workers = self.operations.workers.by_id.keys()
         return bool(workers) and workers <= self.state.hosts_by_name.keys()
 
@@ -311,15 +323,15 @@
             host = self.state.hosts_by_name.get(worker)
             if failures.is_proven and host is not None and host["phase"] == "in_service":
                 count = len(failures.jobs)
-                why = f"{count} jobs failed here one after the other, {failures.proofs} of them "
-                decision = SetAside(worker, f"{why}ended well elsewhere")
+                why = f"{count} jobs failed here in a row, {failures.proofs} of them "
+                decision = SetAside(worker, f"{why}succeeded elsewhere")
                 body = host_body(host, "set_aside", host["pool"], decision.why)
                 if isinstance(self.operations.log.check("host", body), Accepted):
                     found.append(decision)
         return found
 
     def _running_on(self, worker: str) -> list[Running]:
-        # What the pass itself has placed holds room too, but has no attempt to be paused yet.
+        # Jobs placed in this pass have an allocation, but no attempt yet that could be paused.
         names = sorted(self.rooms.jobs_on(worker) - self._waiting_since.keys())
         return [self._running(name, worker) for name in names]
 
@@ -347,7 +359,7 @@
         )
 
     def _allocated_size(self, job: JobState) -> Size:
-        """The room that an attempt was given: as written with its placing."""
+        """The size allocated to a job's attempt, as recorded when it was placed."""
         usage = job.get("usage")
         spec = job["spec"]
         if usage is None:
--- a/mustardgap/placing.py
+++ b/mustardgap/placing.py
@@ -29,6 +29,8 @@
     rank: float
 
 
+# Categories of jobs, in the order in which they get capacity. LASTING are those with tasks that run
+# until they are cancelled.
 LASTING, IN_TIME, LATE, TOO_LATE = range(4)
 
 
@@ -76,9 +78,9 @@
     Jobs with long-running tasks come first, then jobs that can be in time, then late ones. Without
     overload, the job with the least work left goes first, unless another has hardly any slack: so
     most jobs, also wide ones, are in time. Under overload, this order would starve wide jobs and
-    start each job when its time is nearly over. Then jobs that have begun go first, those
-    with the least slack before others, followed by those that haven't begun, the newest first,
-    whatever their size.
+    start each job when its time is nearly over. Then jobs that have begun go first, the one with
+    the least slack leading, followed by those that haven't begun, the newest first, whatever their
+    size.
 
     :param jobs: the jobs that wait for capacity.
     :param queue_of: returns a job's queue, None if it isn't configured any more.
@@ -186,7 +188,7 @@
     counts = Counter(t.run.link.entry.executor for t in siblings if t.run is not None)
     ranking: _Ranking | None = None
     for task in tasks:
-        # A task that failed or stalled avoids executors of its own, so it needs a ranking of its own.
+        # A task that failed or stalled has its own executors to avoid, so it gets its own ranking.
         shares_ranking = not task.avoided and not task.failures
         if ranking is None or not shares_ranking:
             ranking = _Ranking(links, task, departing, spread)
--- a/mustardgap/rooms.py
+++ b/mustardgap/rooms.py
@@ -1,4 +1,4 @@
-"""Free room on workers, and which worker a job goes to."""
+"""Free capacity of workers, and the best-fit choice of a worker for a job."""
 
 import math
 from collections.abc import Collection, Iterator
@@ -9,10 +9,10 @@
 
 
 class Rooms:
-    """Free room by worker, kept up as jobs come and go.
+    """Tracks the free capacity of each worker as jobs are placed and end.
 
-    Workers stand in buckets by their free cores, so the tightest fit is found by looking at some
-    tens of workers and not at all 8,900. Tight fits leave large holes for large jobs.
+    Workers are kept in buckets by their free cores, so that the best fit is found by checking some
+    tens of workers rather than all 8,900. Best fit keeps large free blocks for large jobs.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self._buckets: dict[int, dict[str, None]] = {}
 
     def add_worker(self, worker: str, capacity: Size) -> None:
-        """Offer a worker, or change its capacity; jobs already there keep their room."""
+        """Add a worker, or change its capacity; jobs already on it keep their allocations."""
         if self.capacity_by_worker.get(worker) == capacity:
             return
         self.remove_worker(worker)
@@ -34,14 +34,14 @@
         self._set_free(worker, free)
 
     def remove_worker(self, worker: str) -> None:
-        """Offer a worker no longer; its jobs are still remembered."""
+        """Remove a worker from the choice; the allocations of its jobs stay recorded."""
         self.capacity_by_worker.pop(worker, None)
         free = self.free_by_worker.pop(worker, None)
         if free is not None:
             self._buckets[math.floor(free.cores)].pop(worker, None)
 
     def allocate(self, job: str, worker: str, size: Size) -> None:
-        """Hold room for a job; a job holds room on one worker at most."""
+        """Allocate capacity for a job; an earlier allocation of the job is released."""
         if self._allocation_by_job.get(job) == (worker, size):
             return
         self.release(job)
@@ -51,7 +51,7 @@
             self._set_free(worker, self.free_by_worker[worker].plus(size, -1))
 
     def release(self, job: str) -> None:
-        """Give back what a job held, if anything."""
+        """Release the allocation of a job, if it has one."""
         allocation = self._allocation_by_job.pop(job, None)
         if allocation is None:
             return
@@ -61,23 +61,23 @@
             self._set_free(worker, self.free_by_worker[worker].plus(size))
 
     def allocation(self, job: str) -> tuple[str, Size] | None:
-        """The worker and the room that a job holds."""
+        """The worker and the size allocated to a job, None if nothing is."""
         return self._allocation_by_job.get(job)
 
     def jobs(self) -> set[str]:
-        """The jobs that hold room."""
+        """The jobs that have an allocation."""
         return set(self._allocation_by_job)
 
     def jobs_on(self, worker: str) -> set[str]:
-        """The jobs that hold room on a worker."""
+        """The jobs that have an allocation on a worker."""
         return self._jobs_by_worker.get(worker, set())
 
     def best_fit(self, size: Size, *, avoid: Collection[str] = ()) -> str | None:
-        """Find the worker with the tightest room for a size.
+        """Find a worker that fits a size, those with the fewest free cores first.
 
-        :param size: the room needed.
-        :param avoid: workers not to choose.
-        :return: the worker, or None when none has room.
+        :param size: the capacity needed.
+        :param avoid: the workers not to choose.
+        :return: the worker, or None if the size fits on none.
         """
         for worker in self._candidates(size):
             if worker not in avoid and size.fits(self.free_by_worker[worker]):
@@ -91,7 +91,7 @@
             workers = list(self._buckets[bucket])
             yield from workers[:MAX_TRIES_PER_BUCKET]
             rest += workers[MAX_TRIES_PER_BUCKET:]
-        # Only a job short of memory or accelerators, not of cores, comes this far.
+        # Reached only if the workers tried so far lack memory or accelerators, not cores.
         yield from rest
 
     def _set_free(self, worker: str, free: Size) -> None:
