--- a/features/steps/job_queues_steps.py
+++ b/features/steps/job_queues_steps.py
@@ -25,7 +25,7 @@
 
 
 @then(
-    "jobs of that kind are allocated {ratio:g} of their declared cores, and other jobs all of them"
+    "jobs of that kind are allocated {ratio:g} times their declared cores, and other jobs the declared ones"
 )
 def step_learned(context, ratio):
     size = context.usages.size(context.spec)
@@ -45,7 +45,7 @@
 
 @given("jobs and workers of random sizes")
 def step_given_queue(context):
-    context.rooms = Rooms
+    context.rooms_class = Rooms
 
 
 @then(
@@ -53,20 +53,23 @@
 )
 def step_queue(context):
     @hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
-    @for_all(jobs=JOBS, capacities=CAPACITIES, held=JOBS)
-    def check(jobs, capacities, held):
-        rooms = context.rooms()
+    @for_all(jobs=JOBS, capacities=CAPACITIES, allocated=JOBS)
+    def check(jobs, capacities, allocated):
+        rooms = context.rooms_class()
         free = {}
         for n, capacity in enumerate(capacities):
             rooms.add_worker(f"w{n}", capacity)
             free[f"w{n}"] = capacity
-        for n, (at, size) in enumerate(held):
-            worker = f"w{at % 5}"
+        for n, (number, size) in enumerate(allocated):
+            worker = f"w{number % 5}"
             if worker in free and size.fits(free[worker]):
                 rooms.allocate(f"h{n}", worker, size)
                 free[worker] = free[worker].plus(size, -1)
         assert rooms.free_by_worker == free
-        waiting = [Waiting(f"j{n:02}", u, 0, 0.0, size, 1.0) for n, (u, size) in enumerate(jobs)]
+        waiting = [
+            Waiting(f"j{n:02}", urgency, 0, 0.0, size, 1.0)
+            for n, (urgency, size) in enumerate(jobs)
+        ]
         queue = Queue(
             rooms=rooms,
             running_by_worker=lambda worker: [],
@@ -89,16 +92,23 @@
 @then("jobs that are first are placed where they fit, whatever workers are reserved for later jobs")
 def step_first(context):
     @hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
-    @for_all(jobs=JOBS, capacities=CAPACITIES, kept=st.lists(st.integers(0, 11), max_size=4))
-    def check(jobs, capacities, kept):
-        rooms = context.rooms()
+    @for_all(
+        jobs=JOBS, capacities=CAPACITIES, reserved_for=st.lists(st.integers(0, 11), max_size=4)
+    )
+    def check(jobs, capacities, reserved_for):
+        rooms = context.rooms_class()
         for n, capacity in enumerate(capacities):
             rooms.add_worker(f"w{n}", capacity)
-        waiting = [Waiting(f"j{n:02}", u, 0, 0.0, size, 1.0) for n, (u, size) in enumerate(jobs)]
+        waiting = [
+            Waiting(f"j{n:02}", urgency, 0, 0.0, size, 1.0)
+            for n, (urgency, size) in enumerate(jobs)
+        ]
         queue = Queue(
             rooms=rooms,
             running_by_worker=lambda worker: [],
-            reserved={f"w{n}": Reservation(f"j{k:02}", 0.0, 9e9) for n, k in enumerate(kept)},
+            reserved={
+                f"w{n}": Reservation(f"j{k:02}", 0.0, 9e9) for n, k in enumerate(reserved_for)
+            },
             may_place=lambda job, worker: True,
             now=0.0,
         )
--- a/mustardgap/placements.py
+++ b/mustardgap/placements.py
@@ -145,8 +145,8 @@
         pools = self.requirement.pools
         short = [name for name in pools if self.size_by_pool[name] < pools[name].min_hosts]
         holding = self.size_by_pool + self.draining_by_pool
-        room = [name for name in pools if holding[name] < pools[name].max_hosts]
-        return min(short or room or pools)
+        below_max = [name for name in pools if holding[name] < pools[name].max_hosts]
+        return min(short or below_max or pools)
 
     def oldest_maintained(self) -> float | None:
         """When the host that has waited longest for maintenance was last maintained.
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -28,7 +28,7 @@
 MAX_WRITES_PER_PASS = 100
 # A pass is followed by a pause of at least this many times its duration, so that long passes don't
 # delay requests.
-REST_FACTOR = 10.0
+PASS_PAUSE_FACTOR = 10.0
 
 
 class EndJob(NamedTuple):
@@ -156,7 +156,7 @@
         self._last_pass_at, self._is_changed = now, False
         began = time.perf_counter()
         decisions = self.decide()
-        self._min_pause_s = (time.perf_counter() - began) * REST_FACTOR
+        self._min_pause_s = (time.perf_counter() - began) * PASS_PAUSE_FACTOR
         if not decisions:
             self.duties.drop(KEY)
             return []
@@ -272,13 +272,13 @@
         """Whether a job avoids a worker on which jobs have failed.
 
         :param may_probe: whether the job may test such a worker: it is idempotent and hasn't been
-            tried yet. Only then does it accept a worker that isn't suspect yet, or one that is idle and
-            due for a probe.
+            tried yet. Only then does it accept a worker that isn't suspect yet, or one that is idle
+            and due for a probe.
         """
         if not may_probe:
             return True
-        is_free = not self.rooms.jobs_on(worker)
-        return failures.is_suspect and not (is_free and failures.may_probe(self._now()))
+        is_idle = not self.rooms.jobs_on(worker)
+        return failures.is_suspect and not (is_idle and failures.may_probe(self._now()))
 
     def _fits_outside(self, job: JobState, avoid: set[str]) -> bool:
         size = self._size(job["spec"])
