--- a/features/jobs.feature
+++ b/features/jobs.feature
@@ -101,7 +101,7 @@
 
   Scenario Outline: Declared sizes <declared> times too large are corrected to <ratio>
     Given jobs whose declared sizes are <declared> times what they use
-    Then jobs of that kind are allocated <ratio> times their declared cores, and other jobs the declared ones
+    Then jobs of that kind are allocated <ratio> times their declared cores, and others as declared
 
     Examples:
       | declared | ratio |
--- a/features/steps/job_queues_steps.py
+++ b/features/steps/job_queues_steps.py
@@ -25,7 +25,7 @@
 
 
 @then(
-    "jobs of that kind are allocated {ratio:g} times their declared cores, and other jobs the declared ones"
+    "jobs of that kind are allocated {ratio:g} times their declared cores, and others as declared"
 )
 def step_learned(context, ratio):
     size = context.usages.size(context.spec)
