--- a/features/steps/job_queues_steps.py
+++ b/features/steps/job_queues_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the queue of jobs and on learned sizes, against naive versions."""
+"""Steps that check the job queue and learned job sizes against naive implementations."""
 
 from behave import given, then
 from hypothesis import given as for_all
@@ -17,12 +17,16 @@
     context.spec |= {"accelerators": 0, "run_s": 60.0}
     used = {"cores": 4.0 / declared, "memory_gb": 8.0 / declared, "run_s": 60.0 / declared}
     for n in range(20):
-        assert n > 7 or context.usages.size(context.spec).cores == 4.0, "too few to tell"
+        assert (
+            n > 7 or context.usages.size(context.spec).cores == 4.0
+        ), "size learned from fewer than 8 jobs"
         context.usages.learn(f"j{n}", context.spec, {**used, "cores": 0.0})
         context.usages.learn(f"j{n}", context.spec, used)
 
 
-@then("jobs of that kind are given {ratio:g} of the declared cores, and others all")
+@then(
+    "jobs of that kind are allocated {ratio:g} times their declared cores, and others as declared"
+)
 def step_learned(context, ratio):
     size = context.usages.size(context.spec)
     assert abs(size.cores - 4.0 * ratio) < 1e-6, size
@@ -41,28 +45,31 @@
 
 @given("jobs and workers of random sizes")
 def step_given_queue(context):
-    context.rooms = Rooms
+    context.rooms_class = Rooms
 
 
 @then(
-    "jobs are never placed beyond a worker's room, and none waits where it would have fitted first"
+    "jobs never exceed the free capacity of their worker, and none waits that fits in queue order"
 )
 def step_queue(context):
     @hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
-    @for_all(jobs=JOBS, capacities=CAPACITIES, held=JOBS)
-    def check(jobs, capacities, held):
-        rooms = context.rooms()
+    @for_all(jobs=JOBS, capacities=CAPACITIES, allocated=JOBS)
+    def check(jobs, capacities, allocated):
+        rooms = context.rooms_class()
         free = {}
         for n, capacity in enumerate(capacities):
-            rooms.open(f"w{n}", capacity)
+            rooms.add_worker(f"w{n}", capacity)
             free[f"w{n}"] = capacity
-        for n, (at, size) in enumerate(held):
-            worker = f"w{at % 5}"
+        for n, (number, size) in enumerate(allocated):
+            worker = f"w{number % 5}"
             if worker in free and size.fits(free[worker]):
-                rooms.take(f"h{n}", worker, size)
+                rooms.allocate(f"h{n}", worker, size)
                 free[worker] = free[worker].plus(size, -1)
         assert rooms.free_by_worker == free
-        waiting = [Waiting(f"j{n:02}", u, 0, 0.0, size, 1.0) for n, (u, size) in enumerate(jobs)]
+        waiting = [
+            Waiting(f"j{n:02}", urgency, 0, 0.0, size, 1.0)
+            for n, (urgency, size) in enumerate(jobs)
+        ]
         queue = Queue(
             rooms=rooms,
             running_by_worker=lambda worker: [],
@@ -82,19 +89,26 @@
     check()
 
 
-@then("jobs that are first are placed where there is room, whatever is kept for later ones")
+@then("jobs that are first are placed where they fit, whatever workers are reserved for later jobs")
 def step_first(context):
     @hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
-    @for_all(jobs=JOBS, capacities=CAPACITIES, kept=st.lists(st.integers(0, 11), max_size=4))
-    def check(jobs, capacities, kept):
-        rooms = context.rooms()
+    @for_all(
+        jobs=JOBS, capacities=CAPACITIES, reserved_for=st.lists(st.integers(0, 11), max_size=4)
+    )
+    def check(jobs, capacities, reserved_for):
+        rooms = context.rooms_class()
         for n, capacity in enumerate(capacities):
-            rooms.open(f"w{n}", capacity)
-        waiting = [Waiting(f"j{n:02}", u, 0, 0.0, size, 1.0) for n, (u, size) in enumerate(jobs)]
+            rooms.add_worker(f"w{n}", capacity)
+        waiting = [
+            Waiting(f"j{n:02}", urgency, 0, 0.0, size, 1.0)
+            for n, (urgency, size) in enumerate(jobs)
+        ]
         queue = Queue(
             rooms=rooms,
             running_by_worker=lambda worker: [],
-            reserved={f"w{n}": Reservation(f"j{k:02}", 0.0, 9e9) for n, k in enumerate(kept)},
+            reserved={
+                f"w{n}": Reservation(f"j{k:02}", 0.0, 9e9) for n, k in enumerate(reserved_for)
+            },
             may_place=lambda job, worker: True,
             now=0.0,
         )
--- a/mustardgap/placing.py
+++ b/mustardgap/placing.py
@@ -1,4 +1,4 @@
-"""Which waiting task goes next, and on which executor."""
+"""Orders waiting jobs by urgency and chooses executors for their tasks."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
@@ -9,44 +9,50 @@
 from .policies import WHOLE, Mechanism, Policy
 from .workloads import Queue, Step
 
-# Up to this many times its objective a job earns a little; after that only its promise counts.
+# A job that ends within this many times its objective still has some value. A later one has none,
+# but has been accepted and still has to end.
 LATE_FACTOR = 3.0
-# A job with less slack than this has to begin now: estimates are off by some tenths of a second.
-CRITICAL_S = 0.3
-# An executor whose last run failed isn't trusted for so long; tasks may lie idle for 3 s at most.
+# A job with less slack than this is started first, because run time estimates are off by tenths of
+# a second.
+CRITICAL_SLACK_S = 0.3
+# How long an executor is restricted after a failed run. Shorter than the 3 s for which a task may
+# lie idle, since all executors may be restricted at once.
 DISTRUST_S = 1.5
 
 
-class Urgency(NamedTuple):
-    """Orders jobs; the smallest goes first."""
+class PlacementKey(NamedTuple):
+    """Sort key of a job; the smallest goes first."""
 
-    standing: int
+    category: int
     priority: int
     can_wait: bool
     rank: float
 
 
-LASTING, IN_TIME, LATE, HOPELESS = range(4)
+# Categories of jobs, in the order in which they get capacity. LASTING are those with tasks that run
+# until they are cancelled.
+LASTING, IN_TIME, LATE, TOO_LATE = range(4)
 
 
-class Standing(NamedTuple):
-    """Where a job stands against its objective.
+class Timeliness(NamedTuple):
+    """How a job compares with its objective.
 
-    ``slack_s`` is how long it may still wait, ``work`` the core-seconds that it needs.
+    ``category`` is IN_TIME, LATE or TOO_LATE, ``slack_s`` how long the job may still wait, and
+    ``work`` the core-seconds that it still needs.
     """
 
-    standing: int
+    category: int
     slack_s: float
     work: float
 
 
 def objective_s(job: Job, queue: Queue) -> float:
-    """Within how many seconds a job's caller wants it done."""
+    """The seconds within which a job should be done."""
     return queue.stretch * job.critical_path_s + queue.objective_s
 
 
-def standing(job: Job, queue: Queue, wall: float) -> Standing:
-    """Whether a job can still be in time.
+def timeliness_of(job: Job, queue: Queue, wall: float) -> Timeliness:
+    """Assess whether a job can still be done within its objective.
 
     :param wall: seconds since the epoch.
     """
@@ -54,73 +60,79 @@
     objective = objective_s(job, queue)
     slack = job.accepted_at + objective - wall - chain
     if slack >= 0:
-        return Standing(IN_TIME, slack, work)
+        return Timeliness(IN_TIME, slack, work)
     if slack >= -(LATE_FACTOR - 1) * objective:
-        return Standing(LATE, slack, work)
-    return Standing(HOPELESS, slack, work)
+        return Timeliness(LATE, slack, work)
+    return Timeliness(TOO_LATE, slack, work)
 
 
-def in_order(
+def sort_for_placement(
     jobs: Iterable[Job],
     queue_of: Callable[[Job], Queue | None],
     cores_by_service: Mapping[str, float],
     wall: float,
     policy: Policy = WHOLE,
 ) -> list[Job]:
-    """Sort jobs by who gets room first.
+    """Sort jobs by the order in which they get capacity.
 
-    Lasting tasks come first, then jobs that can be in time, then late ones. While the work that
-    waits can be done within the slack of those that wait, the job with the least work left goes
-    first, unless another has hardly any slack left: so most are in time, and wide ones too. Under
-    overload that would starve wide jobs, and begin each job when its time is nearly over. Then what
-    has begun is ended first, and the newest begins first, whatever its size.
+    Jobs with long-running tasks come first, then jobs that can be in time, then late ones. Without
+    overload, the job with the least work left goes first, unless another has hardly any slack: so
+    most jobs, also wide ones, are in time. Under overload, this order would starve wide jobs and
+    start each job when its time is nearly over. Then jobs that have begun go first, the one with
+    the least slack leading, followed by those that haven't begun, the newest first, whatever their
+    size.
 
-    :param queue_of: a job's queue, None if it isn't configured any more.
+    :param jobs: the jobs that wait for capacity.
+    :param queue_of: returns a job's queue, None if it isn't configured any more.
     :param cores_by_service: the cores of each service's usable executors.
     :param wall: seconds since the epoch.
-    :param policy: what takes part.
+    :param policy: the mechanisms that are enabled.
     """
     ordered = list(jobs)
-    standings = {
-        job.job_id: standing(job, queue, wall)
+    timeliness_by_job = {
+        job.job_id: timeliness_of(job, queue, wall)
         for job in ordered
         if not job.lasting and (queue := queue_of(job)) is not None
     }
     overloaded = set()
     if policy.has(Mechanism.OVERLOAD_ORDER):
-        overloaded = _overloaded(ordered, standings, cores_by_service)
+        overloaded = _overloaded_services(ordered, timeliness_by_job, cores_by_service)
 
-    def key(job: Job) -> Urgency:
+    def key(job: Job) -> PlacementKey:
         queue = queue_of(job)
         if queue is None:
-            return Urgency(HOPELESS, 0, True, job.accepted_at)
+            return PlacementKey(TOO_LATE, 0, True, job.accepted_at)
         if job.lasting:
-            return Urgency(LASTING, queue.priority, False, job.accepted_at)
-        seen = standings[job.job_id]
-        if job.service in overloaded and seen.standing == IN_TIME:
-            rank = -job.accepted_at if not job.has_started else seen.slack_s
-            return Urgency(IN_TIME, queue.priority, not job.has_started, rank)
-        critical = seen.standing == IN_TIME and seen.slack_s < CRITICAL_S
-        return Urgency(seen.standing, queue.priority, not critical, seen.work)
+            return PlacementKey(LASTING, queue.priority, False, job.accepted_at)
+        timeliness = timeliness_by_job[job.job_id]
+        if job.service in overloaded and timeliness.category == IN_TIME:
+            rank = -job.accepted_at if not job.has_started else timeliness.slack_s
+            return PlacementKey(IN_TIME, queue.priority, not job.has_started, rank)
+        critical = timeliness.category == IN_TIME and timeliness.slack_s < CRITICAL_SLACK_S
+        return PlacementKey(timeliness.category, queue.priority, not critical, timeliness.work)
 
     return sorted(ordered, key=key)
 
 
-def _overloaded(
+def _overloaded_services(
     jobs: Iterable[Job],
-    standings: Mapping[str, Standing],
+    timeliness_by_job: Mapping[str, Timeliness],
     cores_by_service: Mapping[str, float],
 ) -> set[str]:
-    """The services whose waiting jobs can't all be in time."""
+    """The services whose waiting jobs can't all be in time.
+
+    A service is overloaded when its waiting work exceeds what its cores do within the mean slack of
+    the jobs that wait.
+    """
     work: Counter[str] = Counter()
     slack: Counter[str] = Counter()
     waiting: Counter[str] = Counter()
     for job in jobs:
-        seen = standings.get(job.job_id)
-        if seen is None or seen.standing != IN_TIME or job.has_started:
+        timeliness = timeliness_by_job.get(job.job_id)
+        if timeliness is None or timeliness.category != IN_TIME or job.has_started:
             continue
-        work[job.service] += seen.work  # type: ignore[assignment]
-        slack[job.service] += seen.slack_s  # type: ignore[assignment]
+        work[job.service] += timeliness.work  # type: ignore[assignment]
+        slack[job.service] += timeliness.slack_s  # type: ignore[assignment]
         waiting[job.service] += 1
     return {
         service
@@ -130,12 +142,12 @@
 
 
 def usable(link: ExecutorLink, step: Step, service: str) -> bool:
-    """Whether an executor may get new runs of a step that needn't be kept apart from others."""
-    return not link.reserved and not link.on_trial and serves(link, step, service)
+    """Whether an executor accepts new runs of tasks that aren't suspected of crashes."""
+    return not link.reserved and not link.on_trial and is_eligible(link, step, service)
 
 
-def serves(link: ExecutorLink, step: Step, service: str) -> bool:
-    """Whether an executor may get new runs of a step at all."""
+def is_eligible(link: ExecutorLink, step: Step, service: str) -> bool:
+    """Whether an executor accepts new runs of a step, even if it is reserved for suspects."""
     return (
         link.up
         and link.listed
@@ -150,71 +162,72 @@
     )
 
 
-def choose_each(
+def choose_executors(
     tasks: Iterable[Task],
     siblings: Sequence[Task],
     links: Sequence[ExecutorLink],
-    planned: frozenset[str],
+    departing: frozenset[str],
     now: float,
     *,
     spread: bool = False,
 ) -> Iterator[tuple[Task, ExecutorLink]]:
-    """Choose executors for the tasks of one step, one after another, until one finds no room.
-
-    Each choice has to be started before the next one is asked for. Equal tasks share one ranking:
-    the executor that was best for one stays the best for the next, for as long as it has room.
-    Ranked for each task anew, a pass over 180 jobs and as many executors takes 365 ms.
-
-    :param tasks: tasks of the step that wait.
-    :param siblings: all tasks of the step, for its bound of tasks on one executor.
-    :param links: executors that may be used for them.
-    :param planned: executors that will be taken away soon.
-    :param now: steady seconds.
-    :param spread: whether executors have been crashing, so that those with least work are best.
+    """Choose executors for the tasks of one step, one by one, until a task fits on none.
+
+    The caller must start each task before it asks for the next choice. Equal tasks share one
+    ranking, since the best executor for one stays the best for the next while it has capacity.
+    With a ranking for each task, a pass over 180 jobs and 180 executors takes 365 ms.
+
+    :param tasks: the waiting tasks of the step.
+    :param siblings: all tasks of the step, to apply its limit of tasks on one executor.
+    :param links: the executors to choose from.
+    :param departing: the executors that will be removed soon.
+    :param now: monotonic seconds.
+    :param spread: whether executors crash often, so that the least loaded ones are preferred.
+    :return: the tasks that fit, each with its executor.
     """
     counts = Counter(t.run.link.entry.executor for t in siblings if t.run is not None)
     ranking: _Ranking | None = None
     for task in tasks:
-        # What has failed or stood still somewhere has executors of its own to avoid.
-        alike = not task.avoided and not task.failures
-        if ranking is None or not alike:
-            ranking = _Ranking(links, task, planned, spread)
+        # A task that failed or stalled has its own executors to avoid, so it gets its own ranking.
+        shares_ranking = not task.avoided and not task.failures
+        if ranking is None or not shares_ranking:
+            ranking = _Ranking(links, task, departing, spread)
         link = ranking.best(task, counts, now)
         if link is None:
             return
         counts[link.entry.executor] += 1
-        if not alike:
+        if not shares_ranking:
             ranking = None
         yield task, link
 
 
-def choose(
+def choose_executor(
     task: Task,
     siblings: Sequence[Task],
     links: Sequence[ExecutorLink],
-    planned: frozenset[str],
+    departing: frozenset[str],
     now: float,
 ) -> ExecutorLink | None:
-    """Choose an executor for one task as ``choose_each`` does, None when none has room."""
-    for _, link in choose_each([task], siblings, links, planned, now):
+    """Choose an executor for one task as ``choose_executors`` does, None if it fits on none."""
+    for _, link in choose_executors([task], siblings, links, departing, now):
         return link
     return None
 
 
 class _Ranking:
-    """The executors that hold a task, the best first."""
+    """The executors with enough free capacity for a task, ordered by preference."""
 
     def __init__(
-        self, links: Sequence[ExecutorLink], task: Task, planned: frozenset[str], spread: bool
+        self, links: Sequence[ExecutorLink], task: Task, departing: frozenset[str], spread: bool
     ) -> None:
         room = task.step.room
         fitting = [link for link in links if link.holds(room)]
         self._best_last = sorted(
-            fitting, key=lambda link: _preference(link, task, planned, spread), reverse=True
+            fitting, key=lambda link: _preference(link, task, departing, spread), reverse=True
         )
 
     def best(self, task: Task, counts: Counter[str], now: float) -> ExecutorLink | None:
-        """The best executor that still has room for the task, None if there is none."""
+        """The best executor that still has capacity for the task, None if there is none."""
         step = task.step
         room = step.room
         while self._best_last:
@@ -230,41 +243,45 @@
 
 
 def _trusted(link: ExecutorLink, task: Task, now: float) -> bool:
-    # An executor whose last run failed may fail all that it starts. It gets one run at a time, of a
-    # task that can still afford a failure, until one succeeds; so a sick one costs a job at most
-    # one of its attempts, and a healthy one that met a bad job is back after one success. Where all
-    # have failed something, tasks that failed would wait for ever; so distrust ends by itself.
+    # An executor whose last run failed may fail every run. Until a run succeeds, it gets one run at
+    # a time, and only of a task without failures. So a faulty executor costs a job at most one
+    # attempt, and a sound one that ran a faulty job is back after one success. The restriction
+    # expires, because tasks with failures would wait for ever if all executors had failed a run.
     if not link.consecutive_failures or now - link.failed_at > DISTRUST_S:
         return True
     return not link.runs_by_key and not task.failures
 
 
 def _preference(
-    link: ExecutorLink, task: Task, planned: frozenset[str], spread: bool
+    link: ExecutorLink, task: Task, departing: frozenset[str], spread: bool
 ) -> tuple[bool, bool, bool, bool, bool, bool, int]:
     step = task.step
     free_cpu = link.entry.capacity.cpu - link.used.cpu
-    leaves_soon = link.entry.executor in planned
+    leaves_soon = link.entry.executor in departing
     return (
         link.entry.executor in task.avoided or link.entry.machine in task.avoided,
         link.slow_marks > 0,
-        # Short tasks may as well run where lasting ones can't stay.
-        leaves_soon if step.lasting else not leaves_soon and bool(planned),
+        # Long-running tasks avoid departing executors; short ones prefer them.
+        leaves_soon if step.lasting else not leaves_soon and bool(departing),
         bool(step.data_rack) and link.entry.rack != step.data_rack,
-        # Lasting tasks share few machines, so that the others can leave the pool.
+        # Long-running tasks share few machines, so that the others can leave the pool.
         step.lasting and not link.lasting_runs,
-        # What lasts is best left alone by what may crash its executor.
+        # While executors crash often, short tasks avoid those with long-running tasks.
         spread and not step.lasting and link.lasting_runs > 0,
-        # The fullest machine that fits: the emptiest ones can leave the pool. But a task that
-        # crashes its executor takes all that runs there, so then the emptiest.
+        # The fullest executor that fits, so that empty machines can leave the pool. While executors
+        # crash often, the emptiest: a task that crashes its executor ends all other runs there.
         -free_cpu if spread and not step.lasting else free_cpu,
     )
 
 
-def choose_gang(tasks: Sequence[Task], links: Sequence[ExecutorLink]) -> list[ExecutorLink] | None:
-    """Choose executors for all tasks of a gang, None when there is no room for all.
+def choose_gang_executors(
+    tasks: Sequence[Task], links: Sequence[ExecutorLink]
+) -> list[ExecutorLink] | None:
+    """Choose executors for all tasks of a gang.
 
-    :return: one link a task, in the order of the tasks.
+    :param tasks: the tasks of the gang, all of one step.
+    :param links: the executors to choose from.
+    :return: one link per task, in the order of the tasks; None if they don't all fit.
     """
     step = tasks[0].step
     racks = sorted({link.entry.rack for link in links})
@@ -274,13 +291,13 @@
     if not step.same_rack or len(groups) > 1:
         groups.append(list(links))
     for group in groups:
-        chosen = _fill(tasks, group)
+        chosen = _fit_gang(tasks, group)
         if chosen is not None:
             return chosen
     return None
 
 
-def _fill(tasks: Sequence[Task], links: Sequence[ExecutorLink]) -> list[ExecutorLink] | None:
+def _fit_gang(tasks: Sequence[Task], links: Sequence[ExecutorLink]) -> list[ExecutorLink] | None:
     step = tasks[0].step
     free = {link.entry.executor: link.free for link in links}
     counts: Counter[str] = Counter()
--- a/mustardgap/pool_views.py
+++ b/mustardgap/pool_views.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from .job_states import Job
-from .placing import HOPELESS, standing
+from .placing import TOO_LATE, timeliness_of
 from .workloads import ExecutorId
 
 if TYPE_CHECKING:
@@ -79,7 +79,7 @@
         if job.service != service or job.phase:
             continue
         queue = dispatcher.queue_of(job)
-        hopeless = queue is None or standing(job, queue, wall).standing == HOPELESS
+        hopeless = queue is None or timeliness_of(job, queue, wall).category == TOO_LATE
         for tasks in job.ready_steps():
             step = tasks[0].step
             if step.filling:
