--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -323,8 +323,8 @@
             host = self.state.hosts_by_name.get(worker)
             if failures.is_proven and host is not None and host["phase"] == "in_service":
                 count = len(failures.jobs)
-                why = f"{count} jobs failed here in a row, {failures.proofs} of them "
-                decision = SetAside(worker, f"{why}succeeded elsewhere")
+                why = f"{count} jobs failed here one after the other, {failures.proofs} of them "
+                decision = SetAside(worker, f"{why}ended well elsewhere")
                 body = host_body(host, "set_aside", host["pool"], decision.why)
                 if isinstance(self.operations.log.check("host", body), Accepted):
                     found.append(decision)
--- a/mustardgap/task_starters.py
+++ b/mustardgap/task_starters.py
@@ -79,7 +79,7 @@
         ):
             return False
         self._dispatcher.finish(
-            job, JobPhase.FAILED, "a task failed too often under earlier owners"
+            job, JobPhase.FAILED, "a task had failed too often under earlier owners"
         )
         return True
 
