--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -6,7 +6,7 @@
 from behave import then, when
 
 from features.support.owner_jobs import START_S, job_id_of
-from mustardgap.crashes import Crash, is_given_up, is_prime_suspect, is_suspect, stands
+from mustardgap.crashes import Crash, classify_crashes, is_given_up, is_suspect, must_run_alone
 from mustardgap.job_states import Task
 from mustardgap.policies import Mechanism, Policy
 from mustardgap.runs import Run
@@ -118,7 +118,7 @@
     runs = [context.run, *(_run(other) for other in OTHERS[others])]
     words = [was, *OTHERS[others]]
     trial = runs[words.index("is the prime suspect")] if "is the prime suspect" in words else None
-    context.crash_by_run = {id(run): crash for run, crash in stands(runs, NOW_S, trial)}
+    context.crash_by_run = {id(run): crash for run, crash in classify_crashes(runs, NOW_S, trial)}
 
 
 @then("the crash counts as {stood} for that run")
@@ -150,7 +150,7 @@
 @then("that task {fate}")
 def has_fate(context, fate):
     task = context.task
-    found = (is_suspect(task), is_prime_suspect(task), is_given_up(task))
+    found = (is_suspect(task), must_run_alone(task), is_given_up(task))
     assert found == FATES[fate], found
 
 
--- a/features/steps/executors_steps.py
+++ b/features/steps/executors_steps.py
@@ -17,7 +17,7 @@
 from mustardgap.settings import PlatformSettings, RequestsSettings, Settings
 from mustardgap.timelines import Timeline
 from mustardgap.timers import Clock, Timers
-from mustardgap.tries import NotSent, Reset, TimedOut, Whole
+from mustardgap.tries import Complete, NotSent, Reset, TimedOut
 
 LONG = os.environ.get("MUSTARDGAP_LONG") == "1"
 SIX = [f"x{number}" for number in range(1, 7)]
@@ -144,7 +144,7 @@
     "is refused": NotSent(),
     "times out": TimedOut(),
     "is reset": Reset(),
-    "is answered": Whole(status=200),
+    "is answered": Complete(status=200),
 }
 
 
--- a/mustardgap/answers.py
+++ b/mustardgap/answers.py
@@ -8,14 +8,14 @@
 from . import headers as header_rules
 from .tries import (
     CallerGone,
-    Cut,
+    Complete,
     Mismatch,
-    PassedOn,
     Refused,
+    Relayed,
     Reset,
     TimedOut,
+    Truncated,
     TryResult,
-    Whole,
 )
 
 
@@ -78,7 +78,7 @@
         elif start_line.code == 503 and headers.get("X-Not-Run") == "1":
             self._end(Refused(detail="refused by the executor", leaving=self._leaving))
         elif not self._is_framed(headers):
-            self._end(Cut(detail="it can't be seen where the answer ends"))
+            self._end(Truncated(detail="it can't be seen where the answer ends"))
 
     def _is_framed(self, headers: httputil.HTTPHeaders) -> bool:
         if self._head or self._status in (204, 304):
@@ -114,9 +114,9 @@
         if self.result is not None:
             return
         if self._begun:
-            self.result = PassedOn(status=self._status, size=self._size, leaving=self._leaving)
+            self.result = Relayed(status=self._status, size=self._size, leaving=self._leaving)
         else:
-            self.result = Whole(
+            self.result = Complete(
                 status=self._status,
                 headers=self._headers,
                 body=b"".join(self._pieces),
@@ -132,7 +132,7 @@
         if self.result is not None:
             return
         if self._status:
-            self.result = Cut(detail=detail, begun=self._begun)
+            self.result = Truncated(detail=detail, begun=self._begun)
         else:
             self.result = Reset(detail=detail)
 
--- a/mustardgap/crashes.py
+++ b/mustardgap/crashes.py
@@ -19,20 +19,24 @@
 
 # A run whose start was answered longer ago than this had begun to work, listed or not: it outlasts
 # the pauses between two looks, so a closed connection is noticed within it.
-FRESH_S = 0.25
+JUST_STARTED_S = 0.25
 # A task whose run is at work for this long isn't what its executors crash of.
-PROVEN_S = 30.0
+FORGET_CRASHES_AFTER_S = 30.0
 # So many crashes of a pool's executors within this time aren't chance.
-FREQUENT, FREQUENT_S = 2, 10.0
+FREQUENT_CRASHES = 2
+FREQUENT_CRASHES_WINDOW_S = 10.0
 # Crashes after which a task has to run with nothing beside it, and the same where another task that
 # had just been started explains them.
-CRASHES_SERIOUS, CRASHES_EXPLAINED = 2, 3
+UNEXPLAINED_CRASH_LIMIT = 2
+ISOLATION_CRASH_LIMIT = 3
 # So many end its job if nothing else was there at the last, and so many whatever else was.
-CRASHES_MANY, CRASHES_AT_MOST = 4, 5
+CRASH_LIMIT_IF_ALONE = 4
+CRASH_LIMIT = 5
 # Executors that are gone and whose machines aren't back, beyond which the oldest are forgotten.
-MAX_UNSETTLED = 256
+MAX_UNCONFIRMED_EXECUTORS = 256
 # For so long a prime suspect has an executor to itself, and so long after many crashes.
-TRIAL_S, LONGEST_TRIAL_S = 2.0, 10.0
+TRIAL_S = 2.0
+LONGEST_TRIAL_S = 10.0
 
 
 class Crash(enum.IntEnum):
@@ -50,7 +54,7 @@
     ONLY_STARTED = 4
 
 
-def stands(
+def classify_crashes(
     runs: Iterable[Run], now: float, trial: Run | None = None
 ) -> Iterator[tuple[Run, Crash]]:
     """How each run stood that may have crashed an executor.
@@ -63,36 +67,39 @@
     :param trial: a prime suspect that had the executor to itself, but for what lasts there.
     """
     sent = [run for run in runs if run.sent]
-    fresh = [run for run in sent if _is_fresh(run, now)]
+    just_started = [run for run in sent if _is_just_started(run, now)]
     for run in sent:
-        if trial in sent and not fresh:
+        if trial in sent and not just_started:
             yield run, Crash.ONLY_AT_WORK if run is trial else Crash.BESIDE_STARTED
-        elif run in fresh:
-            yield run, Crash.ONLY_STARTED if len(fresh) == 1 else Crash.STARTED
-        elif fresh:
+        elif run in just_started:
+            yield run, Crash.ONLY_STARTED if len(just_started) == 1 else Crash.STARTED
+        elif just_started:
             yield run, Crash.BESIDE_STARTED
         else:
             yield run, Crash.ONLY_AT_WORK if len(sent) == 1 else Crash.AT_WORK
 
 
-def _is_fresh(run: Run, now: float) -> bool:
+def _is_just_started(run: Run, now: float) -> bool:
     if run.at_work:
         return False
-    return run.confirmed_at is None or now - run.confirmed_at <= FRESH_S
+    return run.confirmed_at is None or now - run.confirmed_at <= JUST_STARTED_S
 
 
 def is_suspect(task: "Task") -> bool:
     """Whether a task has to be started apart from others that have just been started."""
-    if is_prime_suspect(task):
+    if must_run_alone(task):
         return True
     return not task.crash_cleared and any(c >= Crash.STARTED for c in task.crashes.values())
 
 
-def is_prime_suspect(task: "Task") -> bool:
+def must_run_alone(task: "Task") -> bool:
     """Whether a task has to run with nothing beside it."""
     # Tasks that last meet the crashes of all that is started beside them in their time.
-    many = CRASHES_MANY if task.step.lasting else CRASHES_EXPLAINED
-    return len(task.crashes) >= many or _serious(task.crashes.values()) >= CRASHES_SERIOUS
+    limit = CRASH_LIMIT_IF_ALONE if task.step.lasting else ISOLATION_CRASH_LIMIT
+    return (
+        len(task.crashes) >= limit
+        or _count_unexplained(task.crashes.values()) >= UNEXPLAINED_CRASH_LIMIT
+    )
 
 
 def trial_s(task: "Task") -> float:
@@ -100,28 +107,28 @@
 
     One that crashed later than that would be found beside others again and again.
     """
-    return TRIAL_S if len(task.crashes) < CRASHES_MANY else LONGEST_TRIAL_S
+    return TRIAL_S if len(task.crashes) < CRASH_LIMIT_IF_ALONE else LONGEST_TRIAL_S
 
 
 def is_given_up(task: "Task") -> bool:
     """Whether so many executors have crashed under a task that it isn't started again."""
-    if len(task.crashes) >= CRASHES_AT_MOST and not task.step.lasting:
+    if len(task.crashes) >= CRASH_LIMIT and not task.step.lasting:
         return True
     # An executor that is taken away closes its connections, too, and its notice may come late.
-    sure = sorted(task.crashes_confirmed & task.crashes.keys())
-    crashes = [task.crashes[run] for run in sure]
+    confirmed = sorted(task.crashes_confirmed & task.crashes.keys())
+    crashes = [task.crashes[run] for run in confirmed]
     if not crashes:
         return False
     alone = sum(crash is Crash.ONLY_AT_WORK for crash in crashes)
     # One crash of a task at work may be the executor's own; two with nothing else there aren't.
-    if alone >= CRASHES_SERIOUS:
+    if alone >= UNEXPLAINED_CRASH_LIMIT:
         return True
-    if crashes[-1] is Crash.ONLY_STARTED and _serious(crashes) >= CRASHES_SERIOUS:
+    if crashes[-1] is Crash.ONLY_STARTED and _count_unexplained(crashes) >= UNEXPLAINED_CRASH_LIMIT:
         return True
-    return crashes[-1] >= Crash.ONLY_AT_WORK and len(crashes) >= CRASHES_MANY
+    return crashes[-1] >= Crash.ONLY_AT_WORK and len(crashes) >= CRASH_LIMIT_IF_ALONE
 
 
-def _serious(crashes: Iterable[Crash]) -> int:
+def _count_unexplained(crashes: Iterable[Crash]) -> int:
     """How many crashes of a task nothing else explains."""
     return sum(crash is not Crash.BESIDE_STARTED for crash in crashes)
 
@@ -147,8 +154,8 @@
         self._events = events
         self._policy = policy
         # When executors of each service have gone down under what they had just been started.
-        self._recent_by_service: defaultdict[str, deque[float]] = defaultdict(deque)
-        self._counted_by_executor: dict[str, list[Run]] = {}
+        self._recent_crash_times_by_service: defaultdict[str, deque[float]] = defaultdict(deque)
+        self._unconfirmed_by_executor: dict[str, list[Run]] = {}
 
     def on_closed(self, link: "ExecutorLink") -> None:
         """Count a crash: an executor has closed its connections, and says nothing any more."""
@@ -156,41 +163,43 @@
             # It was to leave. One that is only being emptied goes on until nothing runs there.
             return
         trial = link.trial if link.on_trial else None
-        counted = list(stands(link.runs_by_key.values(), self._clock.monotonic(), trial))
-        self._counted_by_executor[link.entry.executor] = [run for run, _ in counted]
-        while len(self._counted_by_executor) > MAX_UNSETTLED:
-            del self._counted_by_executor[next(iter(self._counted_by_executor))]
-        if any(crash >= Crash.STARTED for _, crash in counted):
-            self._recent_by_service[link.entry.service].append(self._clock.monotonic())
-        for run, crash in counted:
-            self._count(link, run, crash)
+        classified = list(
+            classify_crashes(link.runs_by_key.values(), self._clock.monotonic(), trial)
+        )
+        self._unconfirmed_by_executor[link.entry.executor] = [run for run, _ in classified]
+        while len(self._unconfirmed_by_executor) > MAX_UNCONFIRMED_EXECUTORS:
+            del self._unconfirmed_by_executor[next(iter(self._unconfirmed_by_executor))]
+        if any(crash >= Crash.STARTED for _, crash in classified):
+            self._recent_crash_times_by_service[link.entry.service].append(self._clock.monotonic())
+        for run, crash in classified:
+            self._record_crash(link, run, crash)
 
     def are_frequent(self, service: str) -> bool:
         """Whether executors of a service have been going down under what they start."""
         if not self._policy.has(Mechanism.SPREADING):
             return False
-        recent = self._recent_by_service[service]
-        while recent and recent[0] < self._clock.monotonic() - FREQUENT_S:
+        recent = self._recent_crash_times_by_service[service]
+        while recent and recent[0] < self._clock.monotonic() - FREQUENT_CRASHES_WINDOW_S:
             recent.popleft()
-        return len(recent) >= FREQUENT
+        return len(recent) >= FREQUENT_CRASHES
 
-    def on_heard(self, link: "ExecutorLink") -> None:
+    def on_answered(self, link: "ExecutorLink") -> None:
         """Take a crash back: the executor answers, so it was only out of reach."""
-        self._take_back(link, "the executor answers")
+        self._retract(link, "the executor answers")
 
     def on_gone(self, link: "ExecutorLink", *, answered: bool) -> None:
         """Settle a crash, as an executor is gone.
 
         :param answered: whether another incarnation answers at its address.
         """
-        if self._is_given_away(link.entry):
-            self._take_back(link, "its address was given away")
+        if self._is_address_reused(link.entry):
+            self._retract(link, "its address was given away")
         elif answered:
             self._confirm(link.entry.executor)
 
     def on_listed(self, entry: ExecutorEntry) -> None:
         """Confirm a crash: the machine of an executor that went down has its next one."""
-        for executor, runs in list(self._counted_by_executor.items()):
+        for executor, runs in list(self._unconfirmed_by_executor.items()):
             gone = runs[0].link.entry if runs else None
             if gone is None or not gone.machine or executor == entry.executor:
                 continue
@@ -198,21 +207,21 @@
                 self._confirm(executor)
 
     def _confirm(self, executor: str) -> None:
-        for run in self._counted_by_executor.pop(executor, ()):
+        for run in self._unconfirmed_by_executor.pop(executor, ()):
             run.task.crashes_confirmed.add(run.number)
         self._shard.wake()
 
-    def _is_given_away(self, gone: ExecutorEntry) -> bool:
+    def _is_address_reused(self, gone: ExecutorEntry) -> bool:
         return any(
             entry.address == gone.address
             and (entry.machine, entry.service) != (gone.machine, gone.service)
             for entry in self._shard.roster.entries_by_id.values()
         )
 
-    def on_told(self, job: "Job", task: "Task", number: int) -> None:
+    def on_run_reported(self, job: "Job", task: "Task", number: int) -> None:
         """Take a crash back: an executor tells of the run under which it was to have crashed."""
         if task.crashes.pop(number, None) is not None:
-            self._put_on_record(job, task)
+            self._store_crashes(job, task)
 
     def on_at_work(self, run: Run) -> None:
         """A run has been seen at work: it doesn't crash its executor as it is started."""
@@ -229,11 +238,11 @@
             task = run.task
             if not task.crashes or run.began_s is None:
                 continue
-            if run.link.up and run.link.seen_s - run.began_s >= PROVEN_S:
+            if run.link.up and run.link.seen_s - run.began_s >= FORGET_CRASHES_AFTER_S:
                 task.crashes.clear()
-                self._put_on_record(self._shard.job_of(task.task_id), task)
+                self._store_crashes(self._shard.job_of(task.task_id), task)
 
-    def _count(self, link: "ExecutorLink", run: Run, crash: Crash) -> None:
+    def _record_crash(self, link: "ExecutorLink", run: Run, crash: Crash) -> None:
         task = run.task
         job = self._shard.jobs_by_id.get(task.task_id.job)
         if job is None or job.phase:
@@ -241,7 +250,7 @@
         task.crashes[run.number] = crash
         task.crash_cleared = False
         task.avoided.add(link.entry.machine)
-        self._put_on_record(job, task)
+        self._store_crashes(job, task)
         metrics.task_crashes.add(1, {"stood": crash.name.lower()})
         self._note(
             "run.crashed",
@@ -252,13 +261,13 @@
             percent=run.percent,
         )
 
-    def _take_back(self, link: "ExecutorLink", why: str) -> None:
-        for run in self._counted_by_executor.pop(link.entry.executor, ()):
+    def _retract(self, link: "ExecutorLink", why: str) -> None:
+        for run in self._unconfirmed_by_executor.pop(link.entry.executor, ()):
             task = run.task
             job = self._shard.jobs_by_id.get(task.task_id.job)
             if job is None or task.crashes.pop(run.number, None) is None:
                 continue
-            self._put_on_record(job, task)
+            self._store_crashes(job, task)
             self._note("crash.retracted", run, why=why)
 
     def _note(self, event: str, run: Run, *, vital: bool = True, **fields: object) -> None:
@@ -273,7 +282,7 @@
             **fields,
         )
 
-    def _put_on_record(self, job: "Job", task: "Task") -> None:
+    def _store_crashes(self, job: "Job", task: "Task") -> None:
         job.has_crashes = True
         if job.phase:
             return
--- a/mustardgap/dispatchers.py
+++ b/mustardgap/dispatchers.py
@@ -254,7 +254,7 @@
     def on_report(self, link: ExecutorLink) -> None:
         """An executor has answered."""
         self.roster.heard(link.entry.executor)
-        self.crashes.on_heard(link)
+        self.crashes.on_answered(link)
         self.wake()
 
     def on_closed(self, link: ExecutorLink) -> None:
@@ -302,7 +302,7 @@
         if task.run is not None or not task.inherited:
             return None
         run = Run(task=task, number=row.run, link=link, now=self._clock.monotonic())
-        self.crashes.on_told(job, task, row.run)
+        self.crashes.on_run_reported(job, task, row.run)
         task.run = run
         task.inherited = False
         job.begun = True
@@ -316,7 +316,7 @@
         if job is None or task is None:
             return None
         metrics.run_ends.add(1, {"how": end.how.name.lower()})
-        self.crashes.on_told(job, task, end.run)
+        self.crashes.on_run_reported(job, task, end.run)
         current = run is not None and task.run is run
         inherited = run is None and task.run is None and task.inherited
         self._events.note(
--- a/mustardgap/executor_links.py
+++ b/mustardgap/executor_links.py
@@ -5,7 +5,7 @@
 from typing import Any, Protocol
 
 from . import cancellations, metrics
-from .crashes import is_prime_suspect, trial_s
+from .crashes import must_run_alone, trial_s
 from .events import EventLog
 from .executor_clocks import ExecutorClock
 from .patience import OrdersUnderWay, Patience
@@ -185,7 +185,7 @@
             return False
         if not run.at_work:
             return True
-        return is_prime_suspect(run.task) and not run.is_at_work(self.seen_s, trial_s(run.task))
+        return must_run_alone(run.task) and not run.is_at_work(self.seen_s, trial_s(run.task))
 
     @property
     def free(self) -> Room:
--- a/mustardgap/healths.py
+++ b/mustardgap/healths.py
@@ -4,7 +4,17 @@
 from math import sqrt
 from typing import Any, NamedTuple
 
-from .tries import CallerGone, Cut, Mismatch, NotSent, PassedOn, Refused, Reset, TimedOut, Whole
+from .tries import (
+    CallerGone,
+    Complete,
+    Mismatch,
+    NotSent,
+    Refused,
+    Relayed,
+    Reset,
+    TimedOut,
+    Truncated,
+)
 
 HALF_LIFE_S = 5.0
 FAILED_STATUSES = frozenset({500, 502, 503, 504})
@@ -49,12 +59,12 @@
 
 
 @sign_of.register
-def _(result: Whole) -> Sign | None:
+def _(result: Complete) -> Sign | None:
     return Sign(result.status in FAILED_STATUSES)
 
 
 @sign_of.register
-def _(result: PassedOn) -> Sign | None:
+def _(result: Relayed) -> Sign | None:
     return Sign(result.status in FAILED_STATUSES)
 
 
@@ -63,7 +73,7 @@
     return Sign(True, by_time=True)
 
 
-@sign_of.register(Cut)
+@sign_of.register(Truncated)
 @sign_of.register(Reset)
 @sign_of.register(Mismatch)
 def _(result: Any) -> Sign | None:
--- a/mustardgap/isolation.py
+++ b/mustardgap/isolation.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import TYPE_CHECKING, NamedTuple
 
-from .crashes import is_prime_suspect, is_suspect
+from .crashes import is_suspect, must_run_alone
 from .executor_links import ExecutorLink
 from .job_states import Job, Task
 from .placing import serves
@@ -16,19 +16,19 @@
     from .dispatchers import Dispatcher
 
 # While suspects wait, one executor of so many of a pool is kept for them.
-POOL_SHARE = 8
+EXECUTORS_PER_RESERVED = 8
 # A pool of fewer executors keeps none, until a suspect has waited for long.
-SMALLEST_POOL = 3
+MIN_POOL_EXECUTORS = 3
 # For suspects that last, one each is kept, up to one of so many.
-LASTING_SHARE = 4
+EXECUTORS_PER_LASTING_SUSPECT = 4
 # A suspect that has waited for so long is started beside others: a task may not lie idle for 3 s.
-PATIENCE_S = 2.0
+MAX_ISOLATION_WAIT_S = 2.0
 
 
-class _Waiting(NamedTuple):
+class _SuspectDemand(NamedTuple):
     """The suspects of a service that wait: for how long one has, and how many of them last."""
 
-    longest_s: float
+    longest_wait_s: float
     lasting: int
 
 
@@ -78,62 +78,64 @@
             and all(run.at_work for run in link.runs_by_key.values())
             and (not step.anti_affinity or counts[link.entry.executor] < step.anti_affinity)
         ]
-        has_waited = self._has_waited(task)
-        if is_prime_suspect(task):
-            apart = [link for link in fitting if not link.runs_by_key]
-            others = [link for link in fitting if len(link.runs_by_key) == link.lasting_runs]
+        has_waited_long = self._has_waited_long(task)
+        if must_run_alone(task):
+            preferred = [link for link in fitting if not link.runs_by_key]
+            fallback = [link for link in fitting if len(link.runs_by_key) == link.lasting_runs]
         else:
-            apart = [link for link in fitting if _runs_suspects_only(link)]
-            others = fitting
-        if not apart and has_waited:
-            apart = others
-        return min(apart, key=lambda link: _preference(link, task), default=None)
+            preferred = [link for link in fitting if _runs_suspects_only(link)]
+            fallback = fitting
+        if not preferred and has_waited_long:
+            preferred = fallback
+        return min(preferred, key=lambda link: _preference(link, task), default=None)
 
     def links_for_gang(
         self, tasks: Sequence[Task], job: Job, links: Sequence[ExecutorLink]
     ) -> list[ExecutorLink]:
         """The executors for a gang with a suspect: empty ones, unless it has waited for long."""
         serving = [link for link in links if serves(link, tasks[0].step, job.service)]
-        if any(self._has_waited(task) for task in tasks):
+        if any(self._has_waited_long(task) for task in tasks):
             return serving
         return [link for link in serving if not link.runs_by_key]
 
-    def _has_waited(self, task: Task) -> bool:
+    def _has_waited_long(self, task: Task) -> bool:
         now = self._clock.monotonic()
-        return now - self._waiting_since.get(task.task_id, now) > PATIENCE_S
+        return now - self._waiting_since.get(task.task_id, now) > MAX_ISOLATION_WAIT_S
 
-    def begin(self, task: Task, link: ExecutorLink) -> None:
+    def note_started(self, task: Task, link: ExecutorLink) -> None:
         """Note that a suspect has been started on an executor."""
         link.trial = task.run
 
-    def _waiting_by_service(self, jobs: Iterable[Job]) -> dict[str, _Waiting]:
+    def _waiting_by_service(self, jobs: Iterable[Job]) -> dict[str, _SuspectDemand]:
         now = self._clock.monotonic()
-        waiting_by_service: dict[str, _Waiting] = {}
+        waiting_by_service: dict[str, _SuspectDemand] = {}
         since_by_task: dict[TaskId, float] = {}
         for job in jobs:
             for task in _waiting_suspects(job):
                 since = self._waiting_since.get(task.task_id, now)
                 since_by_task[task.task_id] = since
-                earlier = waiting_by_service.get(job.service, _Waiting(0.0, 0))
-                waiting_by_service[job.service] = _Waiting(
-                    max(earlier.longest_s, now - since), earlier.lasting + task.step.lasting
+                earlier = waiting_by_service.get(job.service, _SuspectDemand(0.0, 0))
+                waiting_by_service[job.service] = _SuspectDemand(
+                    max(earlier.longest_wait_s, now - since), earlier.lasting + task.step.lasting
                 )
         self._waiting_since = since_by_task
         return waiting_by_service
 
 
-def _reserve(links: Iterable[ExecutorLink], waiting: _Waiting) -> None:
+def _reserve(links: Iterable[ExecutorLink], waiting: _SuspectDemand) -> None:
     """Keep as many of a pool's executors for its suspects as these need, those with least work."""
-    living = [link for link in links if link.up and link.listed and not link.closing]
-    wanted = math.ceil(len(living) / POOL_SHARE)
+    available = [link for link in links if link.up and link.listed and not link.closing]
+    wanted = math.ceil(len(available) / EXECUTORS_PER_RESERVED)
     # A task that lasts serves its users, and may not wait for its turn among many.
-    wanted = max(wanted, min(waiting.lasting, len(living) // LASTING_SHARE))
+    wanted = max(wanted, min(waiting.lasting, len(available) // EXECUTORS_PER_LASTING_SUSPECT))
     # The longer one has waited, the more are kept: those kept first may each be taken for long.
-    wanted = min(wanted + int(waiting.longest_s / PATIENCE_S), max(len(living) // 2, 1))
-    if len(living) < SMALLEST_POOL and waiting.longest_s <= PATIENCE_S:
+    wanted = min(
+        wanted + int(waiting.longest_wait_s / MAX_ISOLATION_WAIT_S), max(len(available) // 2, 1)
+    )
+    if len(available) < MIN_POOL_EXECUTORS and waiting.longest_wait_s <= MAX_ISOLATION_WAIT_S:
         wanted = 0
-    reserved = [link for link in living if link.reserved]
-    others = sorted((link for link in living if not link.reserved), key=_work_at_risk)
+    reserved = [link for link in available if link.reserved]
+    others = sorted((link for link in available if not link.reserved), key=_work_at_risk)
     for link in others[: max(wanted - len(reserved), 0)]:
         link.reserved = True
     for link in reserved[wanted:]:
--- a/mustardgap/judgements.py
+++ b/mustardgap/judgements.py
@@ -10,26 +10,26 @@
 from .outcomes import Answered, BrokenOff, NotRun, Outcome, Streamed, Unknown
 from .tries import (
     CallerGone,
-    Cut,
+    Complete,
     Mismatch,
     NotSent,
-    PassedOn,
     Refused,
+    Relayed,
     Reset,
     TimedOut,
+    Truncated,
     TryResult,
-    Whole,
 )
 
-COME_BACK_S = 2.0
+RETRY_AFTER_S = 2.0
 
 
-def spread(seconds: float) -> float:
+def jitter(seconds: float) -> float:
     """Spread a time to come back, so that those refused together don't come back together."""
     return random.uniform(0.5, 1.5) * seconds
 
 
-class Again(Enum):
+class RetryCost(Enum):
     """Whether and at what price a request may be sent again after a try."""
 
     NEVER = "never"
@@ -37,7 +37,7 @@
     BUDGET = "budget"
 
 
-def again(result: TryResult, *, idempotent: bool) -> Again:
+def retry_cost(result: TryResult, *, idempotent: bool) -> RetryCost:
     """Whether a request may be sent again after a try.
 
     :param result: the result of the try.
@@ -45,17 +45,17 @@
     """
     if isinstance(result, NotSent):
         # No executor was given any work, so this can't multiply an overload.
-        return Again.FREE
+        return RetryCost.FREE
     if isinstance(result, Refused):
-        return Again.BUDGET
+        return RetryCost.BUDGET
     if not idempotent or getattr(result, "begun", False):
-        return Again.NEVER
+        return RetryCost.NEVER
     if isinstance(result, TimedOut):
         # The budget was asked before the try was given up.
-        return Again.FREE if result.early else Again.NEVER
-    if isinstance(result, Whole):
-        return Again.BUDGET if result.status in FAILED_STATUSES else Again.NEVER
-    return Again.BUDGET if isinstance(result, Reset | Cut | Mismatch) else Again.NEVER
+        return RetryCost.FREE if result.early else RetryCost.NEVER
+    if isinstance(result, Complete):
+        return RetryCost.BUDGET if result.status in FAILED_STATUSES else RetryCost.NEVER
+    return RetryCost.BUDGET if isinstance(result, Reset | Truncated | Mismatch) else RetryCost.NEVER
 
 
 @singledispatch
@@ -70,30 +70,30 @@
 
 @outcome_of.register
 def _(result: NotSent, executor: str) -> Outcome:
-    retry_after = spread(COME_BACK_S)
+    retry_after = jitter(RETRY_AFTER_S)
     return NotRun(code=status_codes.NO_EXECUTOR, detail=result.detail, retry_after=retry_after)
 
 
 @outcome_of.register
 def _(result: Refused, executor: str) -> Outcome:
-    retry_after = spread(COME_BACK_S)
+    retry_after = jitter(RETRY_AFTER_S)
     return NotRun(code=status_codes.EXECUTOR_REFUSED, detail=result.detail, retry_after=retry_after)
 
 
 @outcome_of.register
-def _(result: Whole, executor: str) -> Outcome:
+def _(result: Complete, executor: str) -> Outcome:
     return Answered(
         status=result.status, headers=result.headers, body=result.body, executor=executor
     )
 
 
 @outcome_of.register
-def _(result: PassedOn, executor: str) -> Outcome:
+def _(result: Relayed, executor: str) -> Outcome:
     return Streamed(status=result.status, size=result.size, executor=executor)
 
 
 @outcome_of.register
-def _(result: Cut, executor: str) -> Outcome:
+def _(result: Truncated, executor: str) -> Outcome:
     kind = BrokenOff if result.begun else Unknown
     return kind(code=status_codes.UNKNOWN_CUT, detail=result.detail, executor=executor)
 
--- a/mustardgap/sessions.py
+++ b/mustardgap/sessions.py
@@ -8,7 +8,7 @@
 from .answers import Patience, Sink
 from .exceptions import SlotRefused
 from .executors import Executors, ExecutorView
-from .judgements import Again
+from .judgements import RetryCost
 from .keys import Claim, Keys
 from .outcomes import BrokenOff, NotRun, Outcome, Unknown
 from .retries import RetryBudget
@@ -153,12 +153,12 @@
             # An earlier request with this key may have run: sent again without the key, as the
             # refusal of a request that nothing is known of allows, it could run twice.
             refusal = status_codes.KEY_UNDECIDED
-        return NotRun(code=refusal, retry_after=judgements.spread(judgements.COME_BACK_S))
+        return NotRun(code=refusal, retry_after=judgements.jitter(judgements.RETRY_AFTER_S))
 
     async def _run(self) -> Outcome:
         route = self.parts.routes.match(self.request.target)
         if route is None:
-            return NotRun(code=status_codes.NO_SERVICE, retry_after=judgements.COME_BACK_S)
+            return NotRun(code=status_codes.NO_SERVICE, retry_after=judgements.RETRY_AFTER_S)
         self.service = route.service
         self._idempotent = route.is_idempotent(self.request.method)
         refusal = self._check(route)
@@ -198,7 +198,7 @@
         if self.parts.keys is None:
             return NotRun(
                 code=status_codes.KEY_UNDECIDED,
-                retry_after=judgements.spread(judgements.COME_BACK_S),
+                retry_after=judgements.jitter(judgements.RETRY_AFTER_S),
             )
         self._is_claiming = True
         claim = await self.parts.keys.claim(self.service, self.request, deadline=self._deadline)
@@ -302,10 +302,10 @@
         max_tries = self.parts.settings.requests.max_tries
         if self.tries >= max_tries or self._unreached >= MAX_UNREACHED or self._is_over():
             return False
-        price = judgements.again(result, idempotent=self._idempotent)
-        if price is Again.BUDGET:
+        price = judgements.retry_cost(result, idempotent=self._idempotent)
+        if price is RetryCost.BUDGET:
             return self.parts.budget.spend(self.service)
-        return price is Again.FREE
+        return price is RetryCost.FREE
 
     def _is_over(self) -> bool:
         return self.parts.clock.monotonic() >= self._deadline
--- a/mustardgap/suspicions.py
+++ b/mustardgap/suspicions.py
@@ -15,21 +15,21 @@
 # still. A task of usual length grows by a hundredth every 10 ms.
 STALL_S = 2.2
 # A stalled run's estimate may be off; a hundredth of the estimated time passes in this many of it.
-STALL_OF_ESTIMATE = 0.08
+STALL_ESTIMATE_RATIO = 0.08
 # An executor on which so many runs stood still gets nothing for a while.
-STALLS = 2
+STALLS_BEFORE_PAUSE = 2
 PAUSE_S = 8.0
 # An executor that refused a start for want of room knows of runs that we don't; one that says it
 # is unhealthy has done nothing. Both are tried again after this.
-REFUSED_S = 0.3
+REFUSED_PAUSE_S = 0.3
 # Failures of so many different jobs without a success between them are the executor's fault.
-FAILED_JOBS = 3
+FAILED_JOBS_BEFORE_PAUSE = 3
 # A run that moves at less than this share of its estimated speed is on a slow executor, once it
-# has run for SLOW_AFTER_S. Estimates are off by a fifth or so.
-SLOW_SHARE = 0.4
-SLOW_AFTER_S = 1.0
+# has run for SLOW_MIN_RUN_S. Estimates are off by a fifth or so.
+SLOW_SPEED_RATIO = 0.4
+SLOW_MIN_RUN_S = 1.0
 SLOW_PAUSE_S = 4.0
-SLOW_JOBS = 2
+SLOW_JOBS_BEFORE_PAUSE = 2
 
 
 class Suspicions:
@@ -65,12 +65,12 @@
         link.failures_in_a_row += 1
         link.failed_at = self._clock.monotonic()
         link.failed_jobs.add(task.task_id.job)
-        if len(link.failed_jobs) >= FAILED_JOBS:
+        if len(link.failed_jobs) >= FAILED_JOBS_BEFORE_PAUSE:
             self._pause(link, PAUSE_S, "fails what it starts")
 
     def on_refused(self, link: ExecutorLink, why: str) -> None:
         """Take in a start that was turned down."""
-        link.pause_until = max(link.pause_until, self._clock.monotonic() + REFUSED_S)
+        link.pause_until = max(link.pause_until, self._clock.monotonic() + REFUSED_PAUSE_S)
 
     def look(self, runs: Iterable[Run]) -> None:
         """Stop runs that stand still, and mark executors that are slow.
@@ -85,39 +85,39 @@
                 continue
             if run.began_s is None:
                 continue
-            if run.link.seen_s - run.moved_s > STALL_S + STALL_OF_ESTIMATE * step.estimate_s:
-                self._stalled(run)
+            if run.link.seen_s - run.moved_s > STALL_S + STALL_ESTIMATE_RATIO * step.estimate_s:
+                self._handle_stall(run)
             elif self._is_slow(run, run.moved_s - run.began_s):
-                self._slow(run)
+                self._handle_slow_run(run)
 
-    def _stalled(self, run: Run) -> None:
+    def _handle_stall(self, run: Run) -> None:
         link = run.link
         link.slow_marks += 1
         run.task.avoided.add(link.entry.executor)
         link.end(run, "stands still")
-        if link.slow_marks >= STALLS:
+        if link.slow_marks >= STALLS_BEFORE_PAUSE:
             self._pause(link, PAUSE_S, "runs stand still")
 
-    def _slow(self, run: Run) -> None:
+    def _handle_slow_run(self, run: Run) -> None:
         # One job may be slow by its own estimate; several are slow by their executor.
         link = run.link
         link.slow_jobs.add(run.task.task_id.job)
-        if len(link.slow_jobs) < SLOW_JOBS:
+        if len(link.slow_jobs) < SLOW_JOBS_BEFORE_PAUSE:
             return
         link.slow_jobs.clear()
         link.slow_marks = max(link.slow_marks, 1)
         self._pause(link, SLOW_PAUSE_S, "slow")
 
     def _is_slow(self, run: Run, ran_s: float) -> bool:
-        if ran_s < SLOW_AFTER_S or run.task.checkpoint or not run.task.step.estimate_s:
+        if ran_s < SLOW_MIN_RUN_S or run.task.checkpoint or not run.task.step.estimate_s:
             return False
-        return run.percent / 100 * run.task.step.estimate_s < SLOW_SHARE * ran_s
+        return run.percent / 100 * run.task.step.estimate_s < SLOW_SPEED_RATIO * ran_s
 
     def _was_slow(self, run: Run) -> bool:
         if run.began_s is None or run.task.checkpoint:
             return False
         ran_s = run.link.seen_s - run.began_s
-        return ran_s >= SLOW_AFTER_S and run.task.step.estimate_s < SLOW_SHARE * ran_s
+        return ran_s >= SLOW_MIN_RUN_S and run.task.step.estimate_s < SLOW_SPEED_RATIO * ran_s
 
     def _pause(self, link: ExecutorLink, pause_s: float, why: str) -> None:
         if not self._policy.has(Mechanism.PAUSES):
--- a/mustardgap/task_starters.py
+++ b/mustardgap/task_starters.py
@@ -115,7 +115,7 @@
         link = self._shard.isolation.choose(task, job, tasks, links)
         if link is not None:
             self._start(job, task, link, self._next_run())
-            self._shard.isolation.begin(task, link)
+            self._shard.isolation.note_started(task, link)
 
     def _cores_by_service(self, now: float) -> dict[str, float]:
         cores: dict[str, float] = {}
--- a/mustardgap/tries.py
+++ b/mustardgap/tries.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Whole:
+class Complete:
     """The whole answer to this request."""
 
     status: int
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PassedOn:
+class Relayed:
     """The whole answer to this request, passed on while it arrived."""
 
     status: int
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Cut:
+class Truncated:
     """The answer broke off or can't be shown to be whole; ``begun`` when part was passed on."""
 
     detail: str = ""
@@ -80,4 +80,6 @@
     leaving: bool = False
 
 
-TryResult = NotSent | Refused | Whole | PassedOn | Cut | Reset | TimedOut | Mismatch | CallerGone
+TryResult = (
+    NotSent | Refused | Complete | Relayed | Truncated | Reset | TimedOut | Mismatch | CallerGone
+)
