--- a/mustardgap/crashes.py
+++ b/mustardgap/crashes.py
@@ -1,4 +1,4 @@
-"""Executors that go down under tasks: which tasks are to blame, and when one is given up."""
+"""Finds tasks that crash their executors, and decides when to stop starting them."""
 
 import enum
 from collections import defaultdict, deque
@@ -17,54 +17,58 @@
     from .executor_links import ExecutorLink
     from .job_states import Job, Task
 
-# A run whose start was answered longer ago than this had begun to work, listed or not: it outlasts
-# the pauses between two looks, so a closed connection is noticed within it.
+# A run counts as just started until this long after its start was answered, unless its executor
+# has listed it as running. This is longer than the time between two polls of an executor, so a
+# connection closed by a crash at the start is noticed within it.
 JUST_STARTED_S = 0.25
-# A task whose run is at work for this long isn't what its executors crash of.
+# The crashes of a task are forgotten once a run of it has been running for this long: the task
+# isn't their cause.
 FORGET_CRASHES_AFTER_S = 30.0
-# So many crashes of a pool's executors within this time aren't chance.
+# This many crashes of a service's executors within this time are too many to be chance.
 FREQUENT_CRASHES = 2
 FREQUENT_CRASHES_WINDOW_S = 10.0
-# Crashes after which a task has to run with nothing beside it, and the same where another task that
-# had just been started explains them.
+# A task must run alone after this many crashes that no other task explains, and after this many
+# crashes in all.
 UNEXPLAINED_CRASH_LIMIT = 2
 ISOLATION_CRASH_LIMIT = 3
-# So many end its job if nothing else was there at the last, and so many whatever else was.
+# A job fails after this many crashes of one task if the task ran alone at the last of them, and
+# after this many in any case. The first is also the number of crashes after which a long-running
+# task must run alone, and after which a trial takes LONGEST_TRIAL_S.
 CRASH_LIMIT_IF_ALONE = 4
 CRASH_LIMIT = 5
-# Executors that are gone and whose machines aren't back, beyond which the oldest are forgotten.
+# Limits the crashed executors whose machines aren't back yet; beyond it, the oldest are dropped.
 MAX_UNCONFIRMED_EXECUTORS = 256
-# For so long a prime suspect has an executor to itself, and so long after many crashes.
+# How long a task that must run alone has an executor to itself, and how long after repeated crashes.
 TRIAL_S = 2.0
 LONGEST_TRIAL_S = 10.0
 
 
 class Crash(enum.IntEnum):
-    """How a task's run stood when its executor crashed."""
+    """The state of a task's run when its executor crashed."""
 
-    # It had been at work; what explains the crash had just been started, or was on trial.
+    # Running; another run that had just been started, or was on trial, explains the crash.
     BESIDE_STARTED = 0
-    # It had been at work, like all others.
+    # Running, as were all others.
     AT_WORK = 1
-    # It had just been started, like others.
+    # Just started, as were others.
     STARTED = 2
-    # It had been at work, and nothing else was there.
+    # Running, with no other run on the executor.
     ONLY_AT_WORK = 3
-    # It alone had just been started.
+    # The only run that had just been started.
     ONLY_STARTED = 4
 
 
 def classify_crashes(
     runs: Iterable[Run], now: float, trial: Run | None = None
 ) -> Iterator[tuple[Run, Crash]]:
-    """How each run stood that may have crashed an executor.
+    """Classify each run that may have crashed an executor.
 
-    Most tasks that crash their executor do so as they begin to work. But each run counts: a task
-    that does so late would never be found out where others are started beside it all the time.
+    Most tasks that crash their executor do so as they begin to run. But a crash counts for every
+    run: a task that crashes late would never be found where others keep being started beside it.
 
-    :param runs: what the executor was known to run, or had been sent.
-    :param now: steady seconds.
-    :param trial: a prime suspect that had the executor to itself, but for what lasts there.
+    :param runs: the runs that the executor was known to have, or whose starts were sent to it.
+    :param now: monotonic seconds.
+    :param trial: a run that had the executor to itself, apart from long-running tasks.
     """
     sent = [run for run in runs if run.sent]
     just_started = [run for run in sent if _is_just_started(run, now)]
@@ -86,15 +90,15 @@
 
 
 def is_suspect(task: "Task") -> bool:
-    """Whether a task has to be started apart from others that have just been started."""
+    """Whether a task must not be started beside others that have just been started."""
     if must_run_alone(task):
         return True
     return not task.crash_cleared and any(c >= Crash.STARTED for c in task.crashes.values())
 
 
 def must_run_alone(task: "Task") -> bool:
-    """Whether a task has to run with nothing beside it."""
-    # Tasks that last meet the crashes of all that is started beside them in their time.
+    """Whether a task must run with no other task on its executor."""
+    # Long-running tasks are there when any task that is started beside them crashes the executor.
     limit = CRASH_LIMIT_IF_ALONE if task.step.lasting else ISOLATION_CRASH_LIMIT
     return (
         len(task.crashes) >= limit
@@ -103,24 +107,26 @@
 
 
 def trial_s(task: "Task") -> float:
-    """For how long a prime suspect has its executor to itself, in seconds.
+    """How long a task that must run alone has its executor to itself, in seconds.
 
-    One that crashed later than that would be found beside others again and again.
+    A task that crashes its executor later than that would keep doing so beside other tasks.
     """
     return TRIAL_S if len(task.crashes) < CRASH_LIMIT_IF_ALONE else LONGEST_TRIAL_S
 
 
 def is_given_up(task: "Task") -> bool:
-    """Whether so many executors have crashed under a task that it isn't started again."""
+    """Whether a task has crashed too many executors to be started again."""
     if len(task.crashes) >= CRASH_LIMIT and not task.step.lasting:
         return True
-    # An executor that is taken away closes its connections, too, and its notice may come late.
+    # Only crashes whose machines are known to be back count here: an executor that is taken out of
+    # service closes its connections, too, and the notice of that may come late.
     confirmed = sorted(task.crashes_confirmed & task.crashes.keys())
     crashes = [task.crashes[run] for run in confirmed]
     if not crashes:
         return False
     alone = sum(crash is Crash.ONLY_AT_WORK for crash in crashes)
-    # One crash of a task at work may be the executor's own; two with nothing else there aren't.
+    # One crash under a running task may be the executor's own fault; two with no other run there
+    # are the task's.
     if alone >= UNEXPLAINED_CRASH_LIMIT:
         return True
     if crashes[-1] is Crash.ONLY_STARTED and _count_unexplained(crashes) >= UNEXPLAINED_CRASH_LIMIT:
@@ -129,21 +135,22 @@
 
 
 def _count_unexplained(crashes: Iterable[Crash]) -> int:
-    """How many crashes of a task nothing else explains."""
+    """Count the crashes of a task that no other task explains."""
     return sum(crash is not Crash.BESIDE_STARTED for crash in crashes)
 
 
 class CrashTracker:
     """Counts the executors that have crashed under each task of a shard.
 
-    A crash is put on record as soon as the executor closes its connections, long before its end is
-    certain. An executor that was only cut off answers again, and its crash is taken back; counted
-    when it is certain, crashes would be forgotten by each takeover within those seconds.
+    A crash is stored as soon as the executor closes its connections, seconds before the executor is
+    known to be gone. If it answers again, it was only unreachable, and the crash is retracted.
+    Stored only once the executor is known to be gone, a crash would be lost by a takeover within
+    those seconds.
 
     :param dispatcher: the owner of the tasks.
     :param clock: the clocks to read.
-    :param events: the process's log.
-    :param policy: what takes part.
+    :param events: the process's event log.
+    :param policy: the mechanisms that are enabled.
     """
 
     def __init__(
@@ -153,14 +160,16 @@
         self._clock = clock
         self._events = events
         self._policy = policy
-        # When executors of each service have gone down under what they had just been started.
+        # Times of crashes, by service, under runs that had just been started or were alone.
         self._recent_crash_times_by_service: defaultdict[str, deque[float]] = defaultdict(deque)
+        # Runs whose crashes aren't confirmed yet, by the executor that crashed.
         self._unconfirmed_by_executor: dict[str, list[Run]] = {}
 
     def on_closed(self, link: "ExecutorLink") -> None:
-        """Count a crash: an executor has closed its connections, and says nothing any more."""
+        """Record a crash: an executor has closed its connections and doesn't answer."""
         if link.entry.draining:
-            # It was to leave. One that is only being emptied goes on until nothing runs there.
+            # It was going to stop. An executor whose machine is only being emptied isn't draining: it
+            # keeps its connections until nothing runs there, so closing them earlier is a crash.
             return
         trial = link.trial if link.on_trial else None
         classified = list(
@@ -175,7 +184,7 @@
             self._record_crash(link, run, crash)
 
     def are_frequent(self, service: str) -> bool:
-        """Whether executors of a service have been going down under what they start."""
+        """Whether executors of a service have crashed often under tasks just started."""
         if not self._policy.has(Mechanism.SPREADING):
             return False
         recent = self._recent_crash_times_by_service[service]
@@ -184,21 +193,21 @@
         return len(recent) >= FREQUENT_CRASHES
 
     def on_answered(self, link: "ExecutorLink") -> None:
-        """Take a crash back: the executor answers, so it was only out of reach."""
-        self._retract(link, "the executor answers")
+        """Retract a crash: the executor answers, so it was only unreachable."""
+        self._retract(link, "the executor answered again")
 
     def on_gone(self, link: "ExecutorLink", *, answered: bool) -> None:
-        """Settle a crash, as an executor is gone.
+        """Confirm or retract a crash, as an executor is gone.
 
         :param answered: whether another incarnation answers at its address.
         """
         if self._is_address_reused(link.entry):
-            self._retract(link, "its address was given away")
+            self._retract(link, "another executor has its address")
         elif answered:
             self._confirm(link.entry.executor)
 
     def on_listed(self, entry: ExecutorEntry) -> None:
-        """Confirm a crash: the machine of an executor that went down has its next one."""
+        """Confirm a crash: the machine of a crashed executor runs a new one."""
         for executor, runs in list(self._unconfirmed_by_executor.items()):
             gone = runs[0].link.entry if runs else None
             if gone is None or not gone.machine or executor == entry.executor:
@@ -219,12 +228,12 @@
         )
 
     def on_run_reported(self, job: "Job", task: "Task", number: int) -> None:
-        """Take a crash back: an executor tells of the run under which it was to have crashed."""
+        """Retract a crash: an executor reports the run that was thought to have crashed it."""
         if task.crashes.pop(number, None) is not None:
             self._store_crashes(job, task)
 
     def on_at_work(self, run: Run) -> None:
-        """A run has been seen at work: it doesn't crash its executor as it is started."""
+        """Clear a task: its run is seen running, so it doesn't crash its executor at the start."""
         task = run.task
         if not task.crashes or task.crash_cleared:
             return
@@ -233,7 +242,7 @@
         self._shard.wake()
 
     def look(self, runs: Iterable[Run]) -> None:
-        """Forget the crashes of tasks that have been at work for long."""
+        """Forget the crashes of tasks that have been running for FORGET_CRASHES_AFTER_S."""
         for run in runs:
             task = run.task
             if not task.crashes or run.began_s is None:
--- a/mustardgap/isolation.py
+++ b/mustardgap/isolation.py
@@ -1,4 +1,4 @@
-"""Starts tasks that may crash their executors apart from others, on executors kept for them."""
+"""Isolates tasks that may crash their executors, on executors reserved for them."""
 
 import math
 from collections import Counter
@@ -15,18 +15,19 @@
 if TYPE_CHECKING:
     from .dispatchers import Dispatcher
 
-# While suspects wait, one executor of so many of a pool is kept for them.
+# While suspects wait, one in this many of a pool's executors is reserved for them.
 EXECUTORS_PER_RESERVED = 8
-# A pool of fewer executors keeps none, until a suspect has waited for long.
+# A pool with fewer executors reserves none until a suspect has waited for MAX_ISOLATION_WAIT_S.
 MIN_POOL_EXECUTORS = 3
-# For suspects that last, one each is kept, up to one of so many.
+# For each long-running suspect that waits, one executor is reserved, up to one in this many.
 EXECUTORS_PER_LASTING_SUSPECT = 4
-# A suspect that has waited for so long is started beside others: a task may not lie idle for 3 s.
+# A suspect that has waited for this long is started beside other tasks, because a task may not be
+# idle for 3 s.
 MAX_ISOLATION_WAIT_S = 2.0
 
 
 class _SuspectDemand(NamedTuple):
-    """The suspects of a service that wait: for how long one has, and how many of them last."""
+    """The waiting suspects of a service: the longest wait, and the number of long-running ones."""
 
     longest_wait_s: float
     lasting: int
@@ -35,10 +36,10 @@
 class Isolation:
     """Chooses executors for tasks under which executors have crashed.
 
-    After one crash a task is started where all others are at work, so that a further crash tells
-    whether it is the cause, and beside other suspects only, so that nothing else is lost. After two
-    it has an executor to itself, or beside tasks that last if there is no other. Started among
-    others, each crash would make suspects of them, and take their work.
+    After one crash, a task is started where all other runs are past their start, so that another
+    crash shows whether it is the cause, and beside other suspects only, so that no other work is
+    lost. After two, it has an executor to itself, or shares one with long-running tasks if no other
+    is free. Started among other tasks, each crash would make those suspects and lose their work.
 
     :param dispatcher: the owner of the tasks.
     :param clock: the clocks to read.
@@ -50,7 +51,7 @@
         self._waiting_since: dict[TaskId, float] = {}
 
     def look(self, jobs: Iterable[Job]) -> None:
-        """Keep executors for the suspects that wait, and let those go that none needs."""
+        """Reserve executors for waiting suspects, and release those that none needs."""
         waiting_by_service = self._waiting_by_service(jobs)
         links = self._shard.roster.links_by_executor.values()
         for service, waiting in waiting_by_service.items():
@@ -62,10 +63,10 @@
     def choose(
         self, task: Task, job: Job, siblings: Sequence[Task], links: Sequence[ExecutorLink]
     ) -> ExecutorLink | None:
-        """Choose an executor for a suspect, None while it had better wait.
+        """Choose an executor for a suspect; None while it should wait.
 
-        :param siblings: all tasks of its step, for the step's bound of tasks on one executor.
-        :param links: executors that its queue's policy allows.
+        :param siblings: all tasks of its step, for the step's limit of tasks on one executor.
+        :param links: the executors that its queue's policy allows.
         """
         step = task.step
         counts = Counter(t.run.link.entry.executor for t in siblings if t.run is not None)
@@ -92,7 +93,7 @@
     def links_for_gang(
         self, tasks: Sequence[Task], job: Job, links: Sequence[ExecutorLink]
     ) -> list[ExecutorLink]:
-        """The executors for a gang with a suspect: empty ones, unless it has waited for long."""
+        """The executors for a gang with a suspect: empty ones, until a task has waited too long."""
         serving = [link for link in links if serves(link, tasks[0].step, job.service)]
         if any(self._has_waited_long(task) for task in tasks):
             return serving
@@ -103,7 +104,7 @@
         return now - self._waiting_since.get(task.task_id, now) > MAX_ISOLATION_WAIT_S
 
     def note_started(self, task: Task, link: ExecutorLink) -> None:
-        """Note that a suspect has been started on an executor."""
+        """Record that a suspect has been started on an executor."""
         link.trial = task.run
 
     def _waiting_by_service(self, jobs: Iterable[Job]) -> dict[str, _SuspectDemand]:
@@ -123,12 +124,13 @@
 
 
 def _reserve(links: Iterable[ExecutorLink], waiting: _SuspectDemand) -> None:
-    """Keep as many of a pool's executors for its suspects as these need, those with least work."""
+    """Reserve as many executors of a pool as its suspects need, those with the least work first."""
     available = [link for link in links if link.up and link.listed and not link.closing]
     wanted = math.ceil(len(available) / EXECUTORS_PER_RESERVED)
-    # A task that lasts serves its users, and may not wait for its turn among many.
+    # A long-running task serves users, and may not queue behind many other suspects.
     wanted = max(wanted, min(waiting.lasting, len(available) // EXECUTORS_PER_LASTING_SUSPECT))
-    # The longer one has waited, the more are kept: those kept first may each be taken for long.
+    # One more for each MAX_ISOLATION_WAIT_S that a suspect has waited, up to half of the pool: the
+    # first ones may each be in use for a long time.
     wanted = min(
         wanted + int(waiting.longest_wait_s / MAX_ISOLATION_WAIT_S), max(len(available) // 2, 1)
     )
@@ -158,7 +160,8 @@
 
 
 def _preference(link: ExecutorLink, task: Task) -> tuple[bool, bool, bool, int]:
-    # On another machine than before: several crashes on one may be the machine's.
+    # A machine where the task hasn't crashed yet comes first: several crashes on one machine may be
+    # the machine's fault.
     return (
         link.entry.machine in task.avoided or link.entry.executor in task.avoided,
         not link.reserved,
--- a/mustardgap/judgements.py
+++ b/mustardgap/judgements.py
@@ -1,4 +1,4 @@
-"""What the result of a try means: the outcome of its request, and whether to send it again."""
+"""Decides by the result of a try whether to retry its request, and what the outcome is."""
 
 import random
 from enum import Enum
@@ -21,16 +21,21 @@
     TryResult,
 )
 
+# The time after which callers are asked to retry, before jitter.
 RETRY_AFTER_S = 2.0
 
 
 def jitter(seconds: float) -> float:
-    """Spread a time to come back, so that those refused together don't come back together."""
+    """Randomize a retry delay, so that callers refused together don't retry together.
+
+    :param seconds: the mean delay.
+    :return: between half and one and a half times the mean, in seconds.
+    """
     return random.uniform(0.5, 1.5) * seconds
 
 
 class RetryCost(Enum):
-    """Whether and at what price a request may be sent again after a try."""
+    """Whether a request may be retried, and whether that uses the retry budget."""
 
     NEVER = "never"
     FREE = "free"
@@ -38,20 +43,20 @@
 
 
 def retry_cost(result: TryResult, *, idempotent: bool) -> RetryCost:
-    """Whether a request may be sent again after a try.
+    """Decide whether a request may be retried, and whether that uses the retry budget.
 
     :param result: the result of the try.
     :param idempotent: whether the request may run more than once.
     """
     if isinstance(result, NotSent):
-        # No executor was given any work, so this can't multiply an overload.
+        # No executor got any work, so a retry can't amplify an overload.
         return RetryCost.FREE
     if isinstance(result, Refused):
         return RetryCost.BUDGET
     if not idempotent or getattr(result, "begun", False):
         return RetryCost.NEVER
     if isinstance(result, TimedOut):
-        # The budget was asked before the try was given up.
+        # The retry budget was charged before the try was ended early.
         return RetryCost.FREE if result.early else RetryCost.NEVER
     if isinstance(result, Complete):
         return RetryCost.BUDGET if result.status in FAILED_STATUSES else RetryCost.NEVER
@@ -60,9 +65,9 @@
 
 @singledispatch
 def outcome_of(result: Any, executor: str) -> Outcome:
-    """The outcome of a request whose last try had this result.
+    """Return the outcome of a request by the result of its last try.
 
-    :param result: the result of the try.
+    :param result: the result of the last try.
     :param executor: the executor's id.
     """
     raise TypeError(f"{type(result).__name__} is not the result of a try")
--- a/mustardgap/suspicions.py
+++ b/mustardgap/suspicions.py
@@ -1,4 +1,4 @@
-"""Executors that fail, refuse, stall or are slow: seen from how their runs end and move."""
+"""Detects executors that fail, refuse, stall or are slow, by how their runs progress and end."""
 
 from collections.abc import Iterable
 
@@ -11,33 +11,36 @@
 from .timers import Clock
 from .workloads import EndKind
 
-# A run whose share done hasn't grown for this long, over several looks of at most 1 s, stands
-# still. A task of usual length grows by a hundredth every 10 ms.
+# A run without progress for this long has stalled. That spans several polls, which take at most 1 s
+# each; a task of typical length progresses by 1 % every 10 ms.
 STALL_S = 2.2
-# A stalled run's estimate may be off; a hundredth of the estimated time passes in this many of it.
+# The limit for a stall is longer by this share of the run's estimated time. At its estimated speed, a
+# run progresses by 1 % in a hundredth of that time; the rest allows for estimates that are too short.
 STALL_ESTIMATE_RATIO = 0.08
-# An executor on which so many runs stood still gets nothing for a while.
+# An executor gets no new runs for PAUSE_S after this many stalled runs.
 STALLS_BEFORE_PAUSE = 2
 PAUSE_S = 8.0
-# An executor that refused a start for want of room knows of runs that we don't; one that says it
-# is unhealthy has done nothing. Both are tried again after this.
+# An executor is tried again this long after it refused a start. If it refused for lack of capacity,
+# it has runs that this owner doesn't know of; if it reported itself unhealthy, it has run nothing.
 REFUSED_PAUSE_S = 0.3
-# Failures of so many different jobs without a success between them are the executor's fault.
+# Failures of this many different jobs with no success in between are the executor's fault.
 FAILED_JOBS_BEFORE_PAUSE = 3
-# A run that moves at less than this share of its estimated speed is on a slow executor, once it
-# has run for SLOW_MIN_RUN_S. Estimates are off by a fifth or so.
+# A run is slow if it progresses at less than this share of its estimated speed. Estimates are off
+# by about a fifth.
 SLOW_SPEED_RATIO = 0.4
+# A run is judged as slow or not only after it has run for this long.
 SLOW_MIN_RUN_S = 1.0
+# An executor gets no new runs for SLOW_PAUSE_S once it has slow runs of this many jobs.
 SLOW_PAUSE_S = 4.0
 SLOW_JOBS_BEFORE_PAUSE = 2
 
 
 class Suspicions:
-    """Marks executors that don't do their work.
+    """Marks and pauses executors that fail their runs, stall or are slow.
 
     :param clock: the clocks to read.
-    :param events: the process's log.
-    :param policy: what takes part.
+    :param events: the process's event log.
+    :param policy: the mechanisms that are enabled.
     """
 
     def __init__(self, *, clock: Clock, events: EventLog, policy: Policy = WHOLE) -> None:
@@ -46,7 +49,7 @@
         self._events = events
 
     def on_end(self, link: ExecutorLink, task: Task, how: EndKind, run: Run | None) -> None:
-        """Take in how a run ended on an executor."""
+        """Update an executor's record by the end of a run on it."""
         if how is EndKind.DONE:
             link.failures_in_a_row = 0
             link.failed_jobs.clear()
@@ -58,7 +61,7 @@
             return
         task.avoided.add(link.entry.executor)
         if task.step.lasting:
-            # Lasting tasks may fail at any time; that says little of the executor.
+            # Long-running tasks may fail at any time, which says little about the executor.
             return
         if not self._policy.has(Mechanism.DISTRUST):
             return
@@ -69,15 +72,15 @@
             self._pause(link, PAUSE_S, "fails what it starts")
 
     def on_refused(self, link: ExecutorLink, why: str) -> None:
-        """Take in a start that was turned down."""
+        """Pause an executor for a moment, as it has refused a start."""
         link.pause_until = max(link.pause_until, self._clock.monotonic() + REFUSED_PAUSE_S)
 
     def look(self, runs: Iterable[Run]) -> None:
-        """Stop runs that stand still, and mark executors that are slow.
+        """Stop stalled runs, and mark executors that are slow.
 
-        Times are those of the executors' clocks. An owner that orders and reads late, as its
-        processor is busy, would find each run slow; it paused executors 550 times in a calm 35 s,
-        and their pools stood half idle while jobs waited.
+        Times are read from the executors' clocks. By its own clock, an owner whose processor is
+        busy sends orders and reads reports late and takes every run for slow: one paused executors
+        550 times in 35 s without any fault, so half of their pools was idle while jobs waited.
         """
         for run in runs:
             step = run.task.step
@@ -94,12 +97,13 @@
         link = run.link
         link.slow_marks += 1
         run.task.avoided.add(link.entry.executor)
-        link.end(run, "stands still")
+        link.end(run, "no progress")
         if link.slow_marks >= STALLS_BEFORE_PAUSE:
             self._pause(link, PAUSE_S, "runs stand still")
 
     def _handle_slow_run(self, run: Run) -> None:
-        # One job may be slow by its own estimate; several are slow by their executor.
+        # One job may look slow because of its own estimate; several jobs are slow because of their
+        # executor.
         link = run.link
         link.slow_jobs.add(run.task.task_id.job)
         if len(link.slow_jobs) < SLOW_JOBS_BEFORE_PAUSE:
--- a/mustardgap/tries.py
+++ b/mustardgap/tries.py
@@ -1,4 +1,4 @@
-"""Tagged results of one try to send a request to one executor."""
+"""Results of one try to send a request to one executor."""
 
 from dataclasses import dataclass, field
 
@@ -7,8 +7,8 @@
 class NotSent:
     """No byte of the request has left this host.
 
-    ``unreachable`` tells whether it was the executor's doing, not the deadline's; ``by_time``, that
-    nothing was heard for as long as a connection may take.
+    ``unreachable`` is true if the executor is the cause, and false if the deadline passed.
+    ``by_time`` is true if connecting timed out.
     """
 
     detail: str = ""
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The executor says that it hasn't run the request."""
+    """The executor reports that it hasn't run the request."""
 
     detail: str = ""
     leaving: bool = False
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Complete:
-    """The whole answer to this request."""
+    """The complete answer to this request."""
 
     status: int
     headers: list[tuple[str, str]] = field(default_factory=list)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Relayed:
-    """The whole answer to this request, passed on while it arrived."""
+    """The complete answer to this request, streamed to the caller while it arrived."""
 
     status: int
     size: int = 0
@@ -45,7 +45,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Truncated:
-    """The answer broke off or can't be shown to be whole; ``begun`` when part was passed on."""
+    """The answer broke off, or nothing shows that it is complete.
+
+    ``begun`` is true if part of it was sent to the caller.
+    """
 
     detail: str = ""
     begun: bool = False
@@ -53,14 +56,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reset:
-    """The connection broke after bytes of the request went out and before an answer came."""
+    """The connection broke after bytes of the request were sent and before an answer came."""
 
     detail: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class TimedOut:
-    """The deadline, or with ``early`` the patience, ran out after bytes of the request went out."""
+    """The deadline passed after bytes of the request were sent.
+
+    With ``early``, the shorter time limit for the first sign of an answer passed instead. ``begun``
+    is true if part of the answer was sent to the caller.
+    """
 
     begun: bool = False
     early: bool = False
@@ -68,14 +75,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Mismatch:
-    """The answer carries another request's id."""
+    """The answer doesn't carry this request's id."""
 
     detail: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class CallerGone:
-    """The caller hung up while the answer was being passed on."""
+    """The caller closed its connection while the answer was being sent to it."""
 
     leaving: bool = False
 
