--- a/mustardgap/crashes.py
+++ b/mustardgap/crashes.py
@@ -25,22 +25,17 @@
 # isn't their cause.
 FORGET_CRASHES_AFTER_S = 30.0
 # This many crashes of a service's executors within this time are too many to be chance.
-FREQUENT_CRASHES = 2
-FREQUENT_CRASHES_WINDOW_S = 10.0
+FREQUENT_CRASHES, FREQUENT_CRASHES_WINDOW_S = 2, 10.0
 # A task must run alone after this many crashes that no other task explains, and after this many
 # crashes in all.
-UNEXPLAINED_CRASH_LIMIT = 2
-ISOLATION_CRASH_LIMIT = 3
-# A job fails after this many crashes of one task if the task ran alone at the last of them, and
-# after this many in any case. The first is also the number of crashes after which a long-running
-# task must run alone, and after which a trial takes LONGEST_TRIAL_S.
-CRASH_LIMIT_IF_ALONE = 4
-CRASH_LIMIT = 5
+UNEXPLAINED_CRASH_LIMIT, ISOLATION_CRASH_LIMIT = 2, 3
+# A job fails after this many confirmed crashes of one task if nothing else explains the last one,
+# and after this many in any case.
+CRASH_LIMIT_IF_ALONE, CRASH_LIMIT = 4, 5
 # Limits the crashed executors whose machines aren't back yet; beyond it, the oldest are dropped.
 MAX_UNCONFIRMED_EXECUTORS = 256
 # How long a task that must run alone has an executor to itself, and how long after repeated crashes.
-TRIAL_S = 2.0
-LONGEST_TRIAL_S = 10.0
+TRIAL_S, LONGEST_TRIAL_S = 2.0, 10.0
 
 
 class Crash(enum.IntEnum):
--- a/mustardgap/suspicions.py
+++ b/mustardgap/suspicions.py
@@ -14,8 +14,9 @@
 # A run without progress for this long has stalled. That spans several polls, which take at most 1 s
 # each; a task of typical length progresses by 1 % every 10 ms.
 STALL_S = 2.2
-# The limit for a stall is longer by this share of the run's estimated time. At its estimated speed, a
-# run progresses by 1 % in a hundredth of that time; the rest allows for estimates that are too short.
+# The limit for a stall is longer by this share of the run's estimated time. At its estimated speed
+# a run progresses by 1 % in a hundredth of that time; the rest allows for estimates that are too
+# short.
 STALL_ESTIMATE_RATIO = 0.08
 # An executor gets no new runs for PAUSE_S after this many stalled runs.
 STALLS_BEFORE_PAUSE = 2
