--- a/mustardgap/crashes.py
+++ b/mustardgap/crashes.py
@@ -163,8 +163,8 @@
     def on_closed(self, link: "ExecutorLink") -> None:
         """Record a crash: an executor has closed its connections and doesn't answer."""
         if link.entry.draining:
-            # It was going to stop. An executor whose machine is only being emptied isn't draining: it
-            # keeps its connections until nothing runs there, so closing them earlier is a crash.
+            # It was going to stop. An executor whose machine is only being emptied isn't draining
+            # and keeps its connections until nothing runs there; if it closes them, it has crashed.
             return
         trial = link.trial if link.on_trial else None
         classified = list(
