--- a/features/capacities.feature
+++ b/features/capacities.feature
@@ -1,16 +1,16 @@
-Feature: An executor is given no more than its capacity of this moment
-  An executor says in its entry how much it holds. That shrinks and grows while it runs, down to nothing;
-  one that doesn't refuse what is too much starts whatever it is told to.
+Feature: An executor is given no more work than its current capacity allows
+  An executor publishes its capacity in its entry. The capacity shrinks, even to nothing, and grows while
+  the executor runs. An executor that doesn't check its capacity starts everything it is sent.
 
-  Scenario Outline: No executor gets too much under the trouble "<trouble>", whether it <guards>
-    Guards against starts by a capacity of a while ago, and against jobs that are lost as it shrinks.
+  Scenario Outline: No executor is overloaded with the fault "<fault>" if executors <guards>
+    Guards against starting tasks by an outdated capacity, and against losing jobs as capacity shrinks.
 
-    When 24 jobs come while executors <guards> and the trouble "<trouble>" comes, <times> times in a row
+    When 24 jobs are submitted while executors <guards>, with the fault "<fault>" <times> times in a row
     Then all jobs have ended as completed
     And no promise was broken
 
     Examples:
-      | trouble                            | guards               | times |
+      | fault                              | guards               | times |
       | capacities shrink                  | refuse what is large | 2     |
       | capacities shrink                  | start everything     | 2     |
       | capacities shrink unseen           | start everything     | 1     |
@@ -21,25 +21,26 @@
       | executors lose answers             | start everything     | 2     |
       | wave comes                         | start everything     | 1     |
 
-  Scenario: What is being stopped counts for as long as it is listed
-    Guards against a start into the room of a task that another owner's job had, and that ends slowly.
+  Scenario: A task that is being stopped uses capacity for as long as its executor lists it
+    Guards against starting a task in the capacity of one that a former owner's cancelled job still uses
+    while it stops slowly.
 
-    When a job of whole executors is cancelled, its owner killed, and another job is handed in
+    When a job that fills its executors is cancelled, its owner is killed, and another job is submitted
     Then all jobs have ended as completed
     And no promise was broken
 
-  Scenario: Starts that wait their turn are held against the capacity once more
-    Guards against a start that was decided before its executor shrank, and sent after.
+  Scenario: The capacity is checked again before a queued start is sent
+    Guards against a start that is decided before the capacity shrinks and sent afterwards.
 
-    When starts wait their turn at an executor whose capacity shrinks to nothing meanwhile
-    Then nothing was sent to it before its capacity had grown again
+    When starts are queued for an executor whose capacity then shrinks to nothing
+    Then no start was sent to it before its capacity had grown again
     And all jobs have ended as completed
     And no promise was broken
 
-  Scenario Outline: A pool with work for <work> of its 4 executors lacks <missing>: <capacities>
-    Guards against executors that have shrunk and count as whole machines of their pool.
+  Scenario Outline: A pool with work for <work> of its 4 executors lacks <missing> at capacities <capacities>
+    Guards against counting an executor with a reduced capacity as a whole machine of its pool.
 
-    When a pool has work for <work> executors, and its 4 hold <capacities> of theirs
+    When a pool has work for <work> executors, and its 4 have the shares <capacities> of their capacity
     Then the pool lacks <missing> machines
 
     Examples:
--- a/features/steps/capacities_steps.py
+++ b/features/steps/capacities_steps.py
@@ -1,4 +1,4 @@
-"""Steps of executors whose capacity shrinks and grows, on virtual time."""
+"""Steps for executors whose capacity shrinks and grows, on virtual time."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 from tools.owner_worlds import CAPACITY, play
 
 STEP = TWO_STEPS.steps[0]
-WHOLE = TWO_STEPS._replace(steps=(STEP._replace(width=3, cpu=CAPACITY.cpu),))
+FULL_JOB = TWO_STEPS._replace(steps=(STEP._replace(width=3, cpu=CAPACITY.cpu),))
 
 
 @when(
-    "{count:d} jobs come while executors {guards} and the trouble "
-    '"{name}" comes, {times:d} times in a row'
+    "{count:d} jobs are submitted while executors {guards}, with the fault "
+    '"{name}" {times:d} times in a row'
 )
-def jobs_come(context, count, guards, name, times):
+def submit_jobs(context, count, guards, name, times):
     async def scene(world):
         await asyncio.sleep(START_S)
         spec = TWO_STEPS._replace(steps=(STEP._replace(width=6), *TWO_STEPS.steps[1:]))
@@ -34,28 +34,30 @@
     context.world = play(scene, executors=3, guards=guards == "refuse what is large")
 
 
-@when("a job of whole executors is cancelled, its owner killed, and another job is handed in")
-def cancelled(context):
+@when(
+    "a job that fills its executors is cancelled, its owner is killed, and another job is submitted"
+)
+def cancel_and_kill_owner(context):
     async def scene(world):
         await asyncio.sleep(START_S)
-        spec = WHOLE._replace(steps=(WHOLE.steps[0]._replace(lasting=True),))
+        spec = FULL_JOB._replace(steps=(FULL_JOB.steps[0]._replace(lasting=True),))
         assert await world.submit_until_accepted(job_id_of(1), spec)
         await asyncio.sleep(1)
         owner = world.owner()
-        # Its stops don't arrive; its successor's do, and take 1.5 s at each executor.
+        # The owner's stop orders don't arrive. Its successor's do, and executors take 1.5 s to stop.
         names = [executor.entry.executor for executor in world.fleet.by_address.values()]
         world.fleet.cut |= {(owner, name) for name in names}
         assert await world.cancel(job_id_of(1), owner) == 200
         world.kill(owner)
-        assert await world.submit_until_accepted(job_id_of(2), WHOLE)
+        assert await world.submit_until_accepted(job_id_of(2), FULL_JOB)
         context.states[job_id_of(2)] = await world.final_state(job_id_of(2), 30)
 
     context.states = {}
     context.world = play(scene, executors=3, guards=False)
 
 
-@when("starts wait their turn at an executor whose capacity shrinks to nothing meanwhile")
-def starts_wait(context):
+@when("starts are queued for an executor whose capacity then shrinks to nothing")
+def queue_starts(context):
     async def scene(world):
         await asyncio.sleep(START_S)
         (executor,) = world.fleet.by_address.values()
@@ -64,7 +66,7 @@
             await link._starting_here.acquire()
         assert await world.submit_until_accepted(job_id_of(1), TWO_STEPS)
         await asyncio.sleep(0.1)
-        assert len(link.runs_by_key) == TWO_STEPS.steps[0].width, "no start waits"
+        assert len(link.runs_by_key) == TWO_STEPS.steps[0].width, "the starts aren't queued"
         executor.resize(Room())
         world.publish(executor)
         await asyncio.sleep(1.5)
@@ -80,13 +82,16 @@
     context.world = play(scene, executors=1, daemons=1, guards=False)
 
 
-@then("nothing was sent to it before its capacity had grown again")
-def nothing_sent(context):
+@then("no start was sent to it before its capacity had grown again")
+def no_start_sent(context):
     assert context.sent == 0, context.sent
 
 
-@when("a pool has work for {work:d} executors, and its 4 hold {capacities} of theirs")
-def pool_has_work(context, work, capacities):
+@when(
+    "a pool has work for {work:d} executors, "
+    "and its 4 have the shares {capacities} of their capacity"
+)
+def size_pool(context, work, capacities):
     executors = [
         ExecutorView(f"x{n}", int(CAPACITY.cpu * float(share)), 0, 0, 0, True, False)
         for n, share in enumerate(capacities.split(","))
