--- a/features/crashes.feature
+++ b/features/crashes.feature
@@ -1,76 +1,76 @@
-Feature: A task that crashes its executors is given up, and costs its neighbours little
-  An executor that a task crashes closes its connections and is back some seconds later, as another
-  incarnation that runs nothing and says nothing of what it ran.
+Feature: A task that crashes its executors fails its job, with little effect on other jobs
+  An executor that a task crashes closes its connections. Seconds later a new incarnation is there,
+  which runs nothing and reports nothing of what the former one ran.
 
   Scenario: A job whose task crashes each executor that starts it ends as failed
-    Guards against a task without a count of its crashes, which takes down executor after executor.
+    Guards against starting a task again and again because its crashes aren't counted.
 
     Given owners on a fake platform
-    When a job of 6 tasks, one of which crashes its executors as they start it, meets the trouble "none"
+    When a job of 6 tasks, one of which crashes its executors at the start, runs with the fault "none"
     Then all jobs have ended as failed
     And no promise was broken
 
-  Scenario Outline: A task that crashes its executors <when> ends its job under the trouble "<trouble>"
-    Guards against a count of crashes that a takeover or an outage of the store loses.
+  Scenario Outline: A task that crashes its executors <when> fails its job with the fault "<fault>"
+    Guards against losing the crash count in a takeover or an outage of the store.
 
     Given owners on a fake platform
-    When a job of <width> tasks, one of which crashes its executors <when>, meets the trouble "<trouble>"
+    When a job of <width> tasks, one of which crashes its executors <when>, runs with the fault "<fault>"
     Then all jobs have ended as failed
     And no promise was broken
 
     Examples:
-      | when               | width | trouble                         |
-      | as they start it   | 1     | none                            |
-      | as they start it   | 6     | none                            |
-      | late in its work   | 1     | none                            |
-      | late in its work   | 6     | none                            |
-      | as they start it   | 6     | owner killed                    |
-      | as they start it   | 6     | all killed                      |
-      | as they start it   | 6     | owner stopped                   |
-      | as they start it   | 6     | store down                      |
-      | as they start it   | 6     | partition away and owner killed |
-      | as they start it   | 6     | owner cut from store            |
-      | as they start it   | 6     | store loses answers             |
-      | as they start it   | 6     | dealt anew                      |
-      | as they start it   | 6     | orders held up                  |
-      | late in its work   | 6     | owner killed                    |
-
-  Scenario Outline: Sound jobs beside <each> that crash executors <when> end well: <trouble>
-    Guards against neighbours that are blamed for a crash, and given up with the task that caused it.
-
-    When <jobs> jobs come at one each <gap> s, <each> of them crashing executors <when>, and <trouble>
-    Then all sound jobs have completed, all others have failed, and no promise was broken
+      | when            | width | fault                           |
+      | at the start    | 1     | none                            |
+      | at the start    | 6     | none                            |
+      | late in the run | 1     | none                            |
+      | late in the run | 6     | none                            |
+      | at the start    | 6     | owner killed                    |
+      | at the start    | 6     | all killed                      |
+      | at the start    | 6     | owner stopped                   |
+      | at the start    | 6     | store down                      |
+      | at the start    | 6     | partition away and owner killed |
+      | at the start    | 6     | owner cut from store            |
+      | at the start    | 6     | store loses answers             |
+      | at the start    | 6     | dealt anew                      |
+      | at the start    | 6     | orders held up                  |
+      | late in the run | 6     | owner killed                    |
+
+  Scenario Outline: Other jobs complete while <each> crash executors <when>, with the fault "<fault>"
+    Guards against blaming tasks on the same executor for a crash, and failing their jobs as well.
+
+    When <jobs> jobs are submitted, one every <gap> s, <each> of them crashing executors <when>, with the fault "<fault>"
+    Then all sound jobs have completed, all others have failed, and no guarantee was violated
 
     Examples:
-      | jobs | gap  | each         | when             | trouble                         |
-      | 60   | 0.1  | one in six   | as they start it | none                            |
-      | 60   | 0.1  | one in six   | late in its work | none                            |
-      | 60   | 0.1  | one in three | as they start it | none                            |
-      | 60   | 0.1  | one in three | late in its work | none                            |
-      | 120  | 0.08 | one in six   | as they start it | none                            |
-      | 40   | 0.1  | one in six   | as they start it | owner killed                    |
-      | 40   | 0.1  | one in six   | as they start it | all killed                      |
-      | 40   | 0.1  | one in six   | as they start it | owner stopped                   |
-      | 40   | 0.1  | one in six   | as they start it | store down                      |
-      | 40   | 0.1  | one in six   | as they start it | store slow                      |
-      | 40   | 0.1  | one in six   | as they start it | partition away and owner killed |
-      | 40   | 0.1  | one in six   | as they start it | executor crashes                |
-      | 40   | 0.1  | one in six   | as they start it | executor loses power            |
-      | 40   | 0.1  | one in six   | as they start it | executor cut                    |
-      | 40   | 0.1  | one in six   | as they start it | executors lose answers          |
-      | 40   | 0.1  | one in six   | as they start it | orders held up                  |
-      | 40   | 0.1  | one in six   | late in its work | owner killed                    |
-
-  Scenario Outline: Jobs whose executors go down by themselves complete: <trouble>, <times> times in a row
-    Guards against a sound job that is given up for a bad rack, a cut or a machine without power.
+      | jobs | gap  | each         | when            | fault                           |
+      | 60   | 0.1  | one in six   | at the start    | none                            |
+      | 60   | 0.1  | one in six   | late in the run | none                            |
+      | 60   | 0.1  | one in three | at the start    | none                            |
+      | 60   | 0.1  | one in three | late in the run | none                            |
+      | 120  | 0.08 | one in six   | at the start    | none                            |
+      | 40   | 0.1  | one in six   | at the start    | owner killed                    |
+      | 40   | 0.1  | one in six   | at the start    | all killed                      |
+      | 40   | 0.1  | one in six   | at the start    | owner stopped                   |
+      | 40   | 0.1  | one in six   | at the start    | store down                      |
+      | 40   | 0.1  | one in six   | at the start    | store slow                      |
+      | 40   | 0.1  | one in six   | at the start    | partition away and owner killed |
+      | 40   | 0.1  | one in six   | at the start    | executor crashes                |
+      | 40   | 0.1  | one in six   | at the start    | executor loses power            |
+      | 40   | 0.1  | one in six   | at the start    | executor cut                    |
+      | 40   | 0.1  | one in six   | at the start    | executors lose answers          |
+      | 40   | 0.1  | one in six   | at the start    | orders held up                  |
+      | 40   | 0.1  | one in six   | late in the run | owner killed                    |
+
+  Scenario Outline: Jobs complete though executors crash for other reasons: <fault>, <times> times in a row
+    Guards against failing a sound job for a faulty rack, a network partition or a power failure.
 
     Given owners on a fake platform
-    When 8 jobs of two steps are handed in under the trouble "<trouble>", <times> times in a row
+    When 8 jobs of two steps are handed in under the trouble "<fault>", <times> times in a row
     Then all jobs have ended as completed
     And no promise was broken
 
     Examples:
-      | trouble              | times |
+      | fault                | times |
       | executor crashes     | 6     |
       | executor loses power | 4     |
       | rack crashes         | 4     |
@@ -78,76 +78,76 @@
       | address reused       | 6     |
       | executor drains      | 4     |
 
-  Scenario Outline: A crash counts as <stood> for a run that <was>, beside <beside>
-    Guards against a task that is blamed for what another one did, and one that is never blamed.
+  Scenario Outline: A crash counts as <crash> for a run that <was>, beside <beside>
+    Guards against blaming a task for a crash that another one caused, and against blaming none.
 
     When an executor closes its connections under a run that <was>, beside <beside>
-    Then the crash counts as <stood> for that run
+    Then the crash counts as <crash> for that run
 
     Examples:
-      | was                      | beside                | stood          |
-      | had just been started    | nothing               | ONLY_STARTED   |
-      | had just been started    | runs at work          | ONLY_STARTED   |
-      | had just been started    | others just started   | STARTED        |
-      | was at work              | others just started   | BESIDE_STARTED |
-      | was at work              | runs at work          | AT_WORK        |
-      | was at work              | nothing               | ONLY_AT_WORK   |
-      | got no answer to a start | runs at work          | ONLY_STARTED   |
-      | was answered 1 s ago     | runs at work          | AT_WORK        |
-      | was never sent           | nothing               | no crash       |
-      | was never sent           | runs at work          | no crash       |
-      | was at work              | a prime suspect       | BESIDE_STARTED |
-      | is the prime suspect     | runs at work          | ONLY_AT_WORK   |
-
-  Scenario Outline: After the crashes <crashes> a task <fate>
-    Guards against a sound task that is given up, and one that is started too often.
-
-    When executors have crashed under a task that stood <crashes>
-    Then that task <fate>
+      | was                      | beside              | crash          |
+      | had just been started    | nothing             | ONLY_STARTED   |
+      | had just been started    | runs at work        | ONLY_STARTED   |
+      | had just been started    | others just started | STARTED        |
+      | was at work              | others just started | BESIDE_STARTED |
+      | was at work              | runs at work        | AT_WORK        |
+      | was at work              | nothing             | ONLY_AT_WORK   |
+      | got no answer to a start | runs at work        | ONLY_STARTED   |
+      | was answered 1 s ago     | runs at work        | AT_WORK        |
+      | was never sent           | nothing             | no crash       |
+      | was never sent           | runs at work        | no crash       |
+      | was at work              | a run on trial      | BESIDE_STARTED |
+      | is the run on trial      | runs at work        | ONLY_AT_WORK   |
+
+  Scenario Outline: After the crashes <crashes> a task <decision>
+    Guards against failing the job of a sound task, and against too many starts of a faulty one.
+
+    When executors have crashed under a task, counted as <crashes>
+    Then that task <decision>
 
     Examples:
-      | crashes                                                     | fate                |
-      | BESIDE_STARTED                                              | is started anywhere |
-      | AT_WORK                                                     | is started anywhere |
-      | BESIDE_STARTED,BESIDE_STARTED                               | is started anywhere |
-      | STARTED                                                     | is started apart    |
-      | ONLY_STARTED                                                | is started apart    |
-      | STARTED,seen at work                                        | is started anywhere |
-      | BESIDE_STARTED,BESIDE_STARTED,BESIDE_STARTED                | runs alone          |
-      | AT_WORK,AT_WORK                                             | runs alone          |
-      | STARTED,STARTED                                             | runs alone          |
-      | AT_WORK,AT_WORK,seen at work                                | runs alone          |
-      | AT_WORK,AT_WORK,ONLY_AT_WORK                                | runs alone          |
-      | STARTED,ONLY_STARTED                                        | is given up         |
-      | STARTED,perhaps ONLY_STARTED                                | runs alone          |
-      | perhaps ONLY_AT_WORK,perhaps ONLY_AT_WORK                   | runs alone          |
-      | ONLY_STARTED,ONLY_STARTED                                   | is given up         |
-      | ONLY_AT_WORK,ONLY_AT_WORK                                   | is given up         |
-      | AT_WORK,AT_WORK,AT_WORK,AT_WORK                             | runs alone          |
-      | AT_WORK,AT_WORK,AT_WORK,ONLY_AT_WORK                        | is given up         |
-      | AT_WORK,AT_WORK,AT_WORK,AT_WORK,AT_WORK                     | is given up         |
+      | crashes                                                     | decision                   |
+      | BESIDE_STARTED                                              | may start on any executor  |
+      | AT_WORK                                                     | may start on any executor  |
+      | BESIDE_STARTED,BESIDE_STARTED                               | may start on any executor  |
+      | STARTED                                                     | must start apart           |
+      | ONLY_STARTED                                                | must start apart           |
+      | STARTED,seen at work                                        | may start on any executor  |
+      | BESIDE_STARTED,BESIDE_STARTED,BESIDE_STARTED                | must run alone             |
+      | AT_WORK,AT_WORK                                             | must run alone             |
+      | STARTED,STARTED                                             | must run alone             |
+      | AT_WORK,AT_WORK,seen at work                                | must run alone             |
+      | AT_WORK,AT_WORK,ONLY_AT_WORK                                | must run alone             |
+      | STARTED,ONLY_STARTED                                        | is given up                |
+      | STARTED,unconfirmed ONLY_STARTED                            | must run alone             |
+      | unconfirmed ONLY_AT_WORK,unconfirmed ONLY_AT_WORK           | must run alone             |
+      | ONLY_STARTED,ONLY_STARTED                                   | is given up                |
+      | ONLY_AT_WORK,ONLY_AT_WORK                                   | is given up                |
+      | AT_WORK,AT_WORK,AT_WORK,AT_WORK                             | must run alone             |
+      | AT_WORK,AT_WORK,AT_WORK,ONLY_AT_WORK                        | is given up                |
+      | AT_WORK,AT_WORK,AT_WORK,AT_WORK,AT_WORK                     | is given up                |
       | BESIDE_STARTED,BESIDE_STARTED,BESIDE_STARTED,BESIDE_STARTED,BESIDE_STARTED | is given up |
 
-  Scenario: A task isn't started again before its crash is on record
-    Guards against a start that the next owner, after power is lost, wouldn't know to count.
+  Scenario: A task isn't started again before its crash is stored
+    Guards against a start that the next owner wouldn't count if this one loses power.
 
     Given owners on a fake platform
-    When a job of 6 tasks, one of which crashes its executors as they start it, meets no durable record
+    When a job of 6 tasks, one of which crashes its executors at the start, runs while no crash can be stored
     Then the task was started once
     And no promise was broken
 
-  Scenario: Each host tells why a job was given up, also after a takeover
-    Guards against a caller who sees only "failed", or another reason from another host.
+  Scenario: Each host reports why a job failed, before and after a takeover
+    Guards against reporting only "failed" to a caller, or different reasons on different hosts.
 
     Given owners on a fake platform
-    When a job of 6 tasks, one of which crashes its executors as they start it, is asked for at each host
-    Then each host says "2 executors crashed under task 0.0.0", before and after a takeover
+    When a job of 6 tasks, one of which crashes its executors at the start, has its state read at each host
+    Then each host reports "2 executors crashed under task 0.0.0", before and after a takeover
 
-  Scenario Outline: While tasks crash executors, sound jobs lose less work: <each>, <jobs> jobs
-    Pattern: short jobs at a steady pace, some of which crash executors as these start them.
-    Guards against jobs that are packed onto the executors that go down next.
+  Scenario Outline: With spreading, sound jobs lose less work to crashes: <each> of <jobs> jobs
+    Short jobs are submitted at a steady rate, and some of them crash executors at the start.
+    Guards against packing jobs onto the executors that crash next.
 
-    When <jobs> jobs come at one each <gap> s, <each> crashing executors, with and without spreading
+    When <jobs> jobs are submitted, one every <gap> s, <each> crashing executors, with and without spreading
     Then fewer runs of sound jobs were lost with spreading, and all sound jobs have completed
 
     Examples:
@@ -157,14 +157,14 @@
       | 60   | 0.1  | one in three  |
       | 120  | 0.05 | one in twelve |
 
-  Scenario Outline: Tasks that last go on beside <each> that crash executors <when>
-    Guards against a task that lasts and is given up for what is started beside it in its time.
+  Scenario Outline: Long-running tasks stay up while one in <each> jobs crashes executors <when>
+    Guards against failing a long-running job for crashes caused by tasks started beside it.
 
-    When <jobs> jobs come at one each 0.1 s, one in <each> crashing executors <when>, beside 3 that last
-    Then the jobs that last are running, all sound jobs have completed, and no promise was broken
+    When <jobs> jobs are submitted, one every 0.1 s, one in <each> crashing executors <when>, beside 3 long-running jobs
+    Then the long-running jobs are running, all sound jobs have completed, and no guarantee was violated
 
     Examples:
-      | jobs | each | when             |
-      | 60   | six  | as they start it |
-      | 60   | six  | late in its work |
-      | 60   | three | as they start it |
+      | jobs | each  | when            |
+      | 60   | six   | at the start    |
+      | 60   | six   | late in the run |
+      | 60   | three | at the start    |
--- a/features/steps/crashes_steps.py
+++ b/features/steps/crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps of tasks that crash their executors, on virtual time."""
+"""Steps for tasks that crash their executors, on virtual time."""
 
 import asyncio
 from types import SimpleNamespace
@@ -11,19 +11,19 @@
 from mustardgap.policies import Mechanism, Policy
 from mustardgap.runs import Run
 from mustardgap.workloads import TaskId
-from tools.crash_plays import CrashPlay, run
+from tools.crash_plays import CrashLoad, run_load
 from tools.owner_troubles import BY_NAME, TWO_STEPS, partition_of_pool
 from tools.owner_worlds import QUEUE, play
 
-# By when after its start a task crashes its executor, in seconds; a sound one takes 0.6.
-CRASH_S = {"as they start it": 0.01, "late in its work": 0.4}
-# By then a job is over, whatever befalls its owner meanwhile.
+# How long after its start a task crashes its executor, in seconds; a sound task takes 0.6 s.
+CRASH_S = {"at the start": 0.01, "late in the run": 0.4}
+# A job has ended by then, whatever fault its owner meets.
 ENDED_S = 60
 
 
 @when(
     "a job of {width:d} tasks, one of which crashes its executors {moment}, "
-    'meets the trouble "{name}"'
+    'runs with the fault "{name}"'
 )
 def job_with_crashing_task(context, width, moment, name):
     spec = TWO_STEPS._replace(steps=(TWO_STEPS.steps[0]._replace(width=width),))
@@ -33,32 +33,32 @@
         job_id = job_id_of(1)
         world.crashing[TaskId(job_id, 0, 0, width // 2)] = CRASH_S[moment]
         assert await world.submit_until_accepted(job_id, spec)
-        trouble = asyncio.ensure_future(BY_NAME[name](world))
+        fault = asyncio.ensure_future(BY_NAME[name](world))
         context.states[job_id] = await world.final_state(job_id, ENDED_S)
-        await trouble
+        await fault
 
     context.world = play(scene, executors=6, **context.options)
 
 
-EACH = {"twelve": 12, "six": 6, "three": 3}
+NUMBERS = {"twelve": 12, "six": 6, "three": 3}
 
 
 @when(
-    "{jobs:d} jobs come at one each {gap:g} s, one in {each} of them crashing executors {moment}, "
-    "and {name}"
+    "{jobs:d} jobs are submitted, one every {gap:g} s, one in {each} of them crashing executors "
+    '{moment}, with the fault "{name}"'
 )
-def jobs_come(context, jobs, gap, each, moment, name):
-    planned = CrashPlay(
+def submit_jobs(context, jobs, gap, each, moment, name):
+    load = CrashLoad(
         jobs=jobs,
         gap_s=gap,
-        crashing_each=EACH[each],
+        crashing_every=NUMBERS[each],
         crash_s=CRASH_S[moment],
-        trouble=name,
+        fault=name,
     )
-    context.outcome = run(planned)
+    context.outcome = run_load(load)
 
 
-@then("all sound jobs have completed, all others have failed, and no promise was broken")
+@then("all sound jobs have completed, all others have failed, and no guarantee was violated")
 def sound_completed(context):
     outcome = context.outcome
     assert set(outcome.sound) == {"completed"}, outcome.sound
@@ -67,18 +67,21 @@
 
 
 @when(
-    "{jobs:d} jobs come at one each {gap:g} s, one in {each} crashing executors {moment}, "
-    "beside {count:d} that last"
+    "{jobs:d} jobs are submitted, one every {gap:g} s, one in {each} crashing executors {moment}, "
+    "beside {count:d} long-running jobs"
 )
-def jobs_beside_lasting(context, jobs, gap, each, moment, count):
-    planned = CrashPlay(
-        jobs=jobs, gap_s=gap, crashing_each=EACH[each], crash_s=CRASH_S[moment], lasting=count
+def submit_beside_long_running(context, jobs, gap, each, moment, count):
+    load = CrashLoad(
+        jobs=jobs, gap_s=gap, crashing_every=NUMBERS[each], crash_s=CRASH_S[moment], lasting=count
     )
-    context.outcome = run(planned)
+    context.outcome = run_load(load)
 
 
-@then("the jobs that last are running, all sound jobs have completed, and no promise was broken")
-def lasting_running(context):
+@then(
+    "the long-running jobs are running, all sound jobs have completed, "
+    "and no guarantee was violated"
+)
+def long_running_are_running(context):
     outcome = context.outcome
     assert set(outcome.lasting) == {"running"}, outcome.lasting
     assert set(outcome.sound) == {"completed"}, outcome.sound
@@ -90,81 +93,82 @@
 TASK = TaskId(job_id_of(1), 0, 0, 0)
 
 
-def _run(was):
-    """A run as its owner knows it, by what it was."""
+def _make_run(was):
+    """Make a run in the state that a step names."""
     link = SimpleNamespace()
     task = Task(task_id=TASK, step=TWO_STEPS.steps[0])
-    made = Run(task=task, number=1, link=link, now=NOW_S - 1)
-    made.sent = was != "was never sent"
-    made.at_work = was in ("was at work", "is the prime suspect")
+    run = Run(task=task, number=1, link=link, now=NOW_S - 1)
+    run.sent = was != "was never sent"
+    run.at_work = was in ("was at work", "is the run on trial")
     if was == "had just been started":
-        made.confirmed_at = NOW_S - 0.05
+        run.confirmed_at = NOW_S - 0.05
     elif was == "was answered 1 s ago":
-        made.confirmed_at = NOW_S - 1
-    return made
+        run.confirmed_at = NOW_S - 1
+    return run
 
 
 OTHERS = {
     "nothing": [],
-    "a prime suspect": ["is the prime suspect"],
+    "a run on trial": ["is the run on trial"],
     "runs at work": ["was at work"] * 2,
     "others just started": ["had just been started"] * 2,
 }
 
 
 @when("an executor closes its connections under a run that {was}, beside {others}")
-def closes(context, was, others):
-    context.run = _run(was)
-    runs = [context.run, *(_run(other) for other in OTHERS[others])]
-    words = [was, *OTHERS[others]]
-    trial = runs[words.index("is the prime suspect")] if "is the prime suspect" in words else None
+def close_connections(context, was, others):
+    context.run = _make_run(was)
+    runs = [context.run, *(_make_run(other) for other in OTHERS[others])]
+    states = [was, *OTHERS[others]]
+    trial = runs[states.index("is the run on trial")] if "is the run on trial" in states else None
     context.crash_by_run = {id(run): crash for run, crash in classify_crashes(runs, NOW_S, trial)}
 
 
-@then("the crash counts as {stood} for that run")
-def counts_as(context, stood):
+@then("the crash counts as {name} for that run")
+def crash_counts_as(context, name):
     crash = context.crash_by_run.get(id(context.run))
-    assert (crash.name if crash is not None else "no crash") == stood, crash
+    assert (crash.name if crash is not None else "no crash") == name, crash
 
 
-@when("executors have crashed under a task that stood {crashes}")
-def have_crashed(context, crashes):
+@when("executors have crashed under a task, counted as {crashes}")
+def crash_executors(context, crashes):
     context.task = Task(task_id=TASK, step=TWO_STEPS.steps[0])
-    for number, word in enumerate(crashes.split(",")):
-        if word == "seen at work":
+    for number, name in enumerate(crashes.split(",")):
+        if name == "seen at work":
             context.task.crash_cleared = True
         else:
-            context.task.crashes[number] = Crash[word.removeprefix("perhaps ")]
-            if not word.startswith("perhaps "):
+            context.task.crashes[number] = Crash[name.removeprefix("unconfirmed ")]
+            if not name.startswith("unconfirmed "):
                 context.task.crashes_confirmed.add(number)
 
 
-FATES = {
-    "is started anywhere": (False, False, False),
-    "is started apart": (True, False, False),
-    "runs alone": (True, True, False),
+# Whether a task is a suspect, must run alone, and is given up, by decision.
+DECISIONS = {
+    "may start on any executor": (False, False, False),
+    "must start apart": (True, False, False),
+    "must run alone": (True, True, False),
     "is given up": (True, True, True),
 }
 
 
-@then("that task {fate}")
-def has_fate(context, fate):
+@then("that task {decision}")
+def decision_is(context, decision):
     task = context.task
     found = (is_suspect(task), must_run_alone(task), is_given_up(task))
-    assert found == FATES[fate], found
+    assert found == DECISIONS[decision], found
 
 
 @when(
-    "a job of {width:d} tasks, one of which crashes its executors as they start it, "
-    "meets no durable record"
+    "a job of {width:d} tasks, one of which crashes its executors at the start, "
+    "runs while no crash can be stored"
 )
-def no_durable_record(context, width):
+def run_without_storing(context, width):
     spec = TWO_STEPS._replace(steps=(TWO_STEPS.steps[0]._replace(width=width),))
 
     async def scene(world):
         await asyncio.sleep(START_S)
         context.task_id = TaskId(job_id_of(1), 0, 0, 0)
-        world.crashing[context.task_id] = CRASH_S["as they start it"]
+        world.crashing[context.task_id] = CRASH_S["at the start"]
         assert await world.submit_until_accepted(job_id_of(1), spec)
         owner = world.owner()
         world.store.away = {partition_of_pool(failover=failover) for failover in (False, True)}
@@ -181,46 +185,46 @@
 
 
 @when(
-    "a job of {width:d} tasks, one of which crashes its executors as they start it, "
-    "is asked for at each host"
+    "a job of {width:d} tasks, one of which crashes its executors at the start, "
+    "has its state read at each host"
 )
-def asked_at_each_host(context, width):
+def read_state_at_each_host(context, width):
     spec = TWO_STEPS._replace(steps=(TWO_STEPS.steps[0]._replace(width=width),))
     job_id = job_id_of(1)
 
-    async def ask_all(world):
+    async def read_states(world):
         for name in world.names:
             reply = await world.daemon(name).gateway.state(queue=QUEUE, job_id=job_id)
-            context.told.append((reply.state, reply.detail))
+            context.replies.append((reply.state, reply.detail))
 
     async def scene(world):
         await asyncio.sleep(START_S)
-        world.crashing[TaskId(job_id, 0, 0, 0)] = CRASH_S["as they start it"]
+        world.crashing[TaskId(job_id, 0, 0, 0)] = CRASH_S["at the start"]
         assert await world.submit_until_accepted(job_id, spec)
         await world.final_state(job_id, ENDED_S)
-        await ask_all(world)
+        await read_states(world)
         await BY_NAME["owner killed"](world)
         await asyncio.sleep(5)
-        await ask_all(world)
+        await read_states(world)
 
-    context.told = []
+    context.replies = []
     context.world = play(scene, executors=6, **context.options)
 
 
-@then('each host says "{why}", before and after a takeover')
-def each_host_says(context, why):
-    assert len(context.told) == 2 * len(context.world.names), context.told
-    assert set(context.told) == {("failed", why)}, context.told
+@then('each host reports "{why}", before and after a takeover')
+def each_host_reports(context, why):
+    assert len(context.replies) == 2 * len(context.world.names), context.replies
+    assert set(context.replies) == {("failed", why)}, context.replies
 
 
 @when(
-    "{jobs:d} jobs come at one each {gap:g} s, one in {each} crashing executors, "
+    "{jobs:d} jobs are submitted, one every {gap:g} s, one in {each} crashing executors, "
     "with and without spreading"
 )
-def with_and_without_spreading(context, jobs, gap, each):
-    planned = CrashPlay(jobs=jobs, gap_s=gap, crashing_each=EACH[each], executors=16)
-    context.spread = run(planned)
-    context.packed = run(planned._replace(policy=Policy(without=(Mechanism.SPREADING,))))
+def submit_with_and_without_spreading(context, jobs, gap, each):
+    load = CrashLoad(jobs=jobs, gap_s=gap, crashing_every=NUMBERS[each], executors=16)
+    context.spread = run_load(load)
+    context.packed = run_load(load._replace(policy=Policy(without=(Mechanism.SPREADING,))))
 
 
 @then("fewer runs of sound jobs were lost with spreading, and all sound jobs have completed")
