--- a/features/steps/capacities_steps.py
+++ b/features/steps/capacities_steps.py
@@ -44,7 +44,7 @@
         assert await world.submit_until_accepted(job_id_of(1), spec)
         await asyncio.sleep(1)
         owner = world.owner()
-        # The owner's stop orders don't arrive. Its successor's do, and executors take 1.5 s to stop.
+        # The owner's stop orders don't arrive. Its successor's do; executors take 1.5 s for each.
         names = [executor.entry.executor for executor in world.fleet.by_address.values()]
         world.fleet.cut |= {(owner, name) for name in names}
         assert await world.cancel(job_id_of(1), owner) == 200
