--- a/mustardgap/judgements.py
+++ b/mustardgap/judgements.py
@@ -21,7 +21,7 @@
     TryResult,
 )
 
-# The time after which callers are asked to retry, before jitter.
+# Callers whose requests weren't run are asked to retry after about this long.
 RETRY_AFTER_S = 2.0
 
 
