--- a/mustardgap/crashes.py
+++ b/mustardgap/crashes.py
@@ -24,28 +24,18 @@
 # The crashes of a task are forgotten once a run of it has been running for this long: the task
 # isn't their cause.
 FORGET_CRASHES_AFTER_S = 30.0
-# This many crashes of a service's executors within FREQUENT_CRASHES_WINDOW_S are too many to be
-# chance.
-FREQUENT_CRASHES = 2
-FREQUENT_CRASHES_WINDOW_S = 10.0
-# A task must run alone after this many crashes that no other task explains. Its job fails after
-# this many confirmed ones if each was under the task alone, or if the last one was and the task had
-# just been started then.
-UNEXPLAINED_CRASH_LIMIT = 2
-# A task that isn't long-running must run alone after this many crashes, explained or not.
-ISOLATION_CRASH_LIMIT = 3
-# A job fails after this many confirmed crashes of one task if the last one was under that task
-# alone, running or just started. A long-running task must run alone after this many crashes, and
-# trials then take LONGEST_TRIAL_S.
-CRASH_LIMIT_IF_ALONE = 4
-# A job fails after this many crashes of one task in any case, unless the task is long-running.
-CRASH_LIMIT = 5
+# This many crashes of a service's executors within this time are too many to be chance.
+FREQUENT_CRASHES, FREQUENT_CRASHES_WINDOW_S = 2, 10.0
+# A task must run alone after this many crashes that no other task explains, and after this many
+# crashes in all.
+UNEXPLAINED_CRASH_LIMIT, ISOLATION_CRASH_LIMIT = 2, 3
+# A job fails after this many confirmed crashes of one task if nothing else explains the last one,
+# and after this many in any case.
+CRASH_LIMIT_IF_ALONE, CRASH_LIMIT = 4, 5
 # Limits the crashed executors whose machines aren't back yet; beyond it, the oldest are dropped.
 MAX_UNCONFIRMED_EXECUTORS = 256
-# How long a task that must run alone has an executor to itself.
-TRIAL_S = 2.0
-# The same after CRASH_LIMIT_IF_ALONE crashes.
-LONGEST_TRIAL_S = 10.0
+# How long a task that must run alone has an executor to itself, and how long after repeated crashes.
+TRIAL_S, LONGEST_TRIAL_S = 2.0, 10.0
 
 
 class Crash(enum.IntEnum):
@@ -103,7 +93,7 @@
 
 def must_run_alone(task: "Task") -> bool:
     """Whether a task must run with no other task on its executor."""
-    # A long-running task is present at each crash that is caused by a task started beside it.
+    # Long-running tasks are there when any task that is started beside them crashes the executor.
     limit = CRASH_LIMIT_IF_ALONE if task.step.lasting else ISOLATION_CRASH_LIMIT
     return (
         len(task.crashes) >= limit
