--- a/mustardgap/crashes.py
+++ b/mustardgap/crashes.py
@@ -34,7 +34,8 @@
 CRASH_LIMIT_IF_ALONE, CRASH_LIMIT = 4, 5
 # Limits the crashed executors whose machines aren't back yet; beyond it, the oldest are dropped.
 MAX_UNCONFIRMED_EXECUTORS = 256
-# How long a task that must run alone has an executor to itself, and how long after repeated crashes.
+# How long a task that must run alone has an executor to itself, and how long after repeated
+# crashes.
 TRIAL_S, LONGEST_TRIAL_S = 2.0, 10.0
 
 
