--- a/mustardgap/judgements.py
+++ b/mustardgap/judgements.py
@@ -1,4 +1,4 @@
-"""What the result of a try means: the outcome of its request, and whether to send it again."""
+"""Decides by the result of a try whether to retry its request, and what the outcome is."""
 
 import random
 from enum import Enum
@@ -10,59 +10,64 @@
 from .outcomes import Answered, BrokenOff, NotRun, Outcome, Streamed, Unknown
 from .tries import (
     CallerGone,
-    Cut,
+    Complete,
     Mismatch,
     NotSent,
-    PassedOn,
     Refused,
+    Relayed,
     Reset,
     TimedOut,
+    Truncated,
     TryResult,
-    Whole,
 )
 
-COME_BACK_S = 2.0
+# Callers whose requests weren't run are asked to retry after about this long.
+RETRY_AFTER_S = 2.0
 
 
-def spread(seconds: float) -> float:
-    """Spread a time to come back, so that those refused together don't come back together."""
+def jitter(seconds: float) -> float:
+    """Randomize a retry delay, so that callers refused together don't retry together.
+
+    :param seconds: the mean delay.
+    :return: between half and one and a half times the mean, in seconds.
+    """
     return random.uniform(0.5, 1.5) * seconds
 
 
-class Again(Enum):
-    """Whether and at what price a request may be sent again after a try."""
+class RetryCost(Enum):
+    """Whether a request may be retried, and whether that uses the retry budget."""
 
     NEVER = "never"
     FREE = "free"
     BUDGET = "budget"
 
 
-def again(result: TryResult, *, idempotent: bool) -> Again:
-    """Whether a request may be sent again after a try.
+def retry_cost(result: TryResult, *, idempotent: bool) -> RetryCost:
+    """Decide whether a request may be retried, and whether that uses the retry budget.
 
     :param result: the result of the try.
     :param idempotent: whether the request may run more than once.
     """
     if isinstance(result, NotSent):
-        # No executor was given any work, so this can't multiply an overload.
-        return Again.FREE
+        # No executor got any work, so a retry can't amplify an overload.
+        return RetryCost.FREE
     if isinstance(result, Refused):
-        return Again.BUDGET
+        return RetryCost.BUDGET
     if not idempotent or getattr(result, "begun", False):
-        return Again.NEVER
+        return RetryCost.NEVER
     if isinstance(result, TimedOut):
-        # The budget was asked before the try was given up.
-        return Again.FREE if result.early else Again.NEVER
-    if isinstance(result, Whole):
-        return Again.BUDGET if result.status in FAILED_STATUSES else Again.NEVER
-    return Again.BUDGET if isinstance(result, Reset | Cut | Mismatch) else Again.NEVER
+        # The retry budget was charged before the try was ended early.
+        return RetryCost.FREE if result.early else RetryCost.NEVER
+    if isinstance(result, Complete):
+        return RetryCost.BUDGET if result.status in FAILED_STATUSES else RetryCost.NEVER
+    return RetryCost.BUDGET if isinstance(result, Reset | Truncated | Mismatch) else RetryCost.NEVER
 
 
 @singledispatch
 def outcome_of(result: Any, executor: str) -> Outcome:
-    """The outcome of a request whose last try had this result.
+    """Return the outcome of a request by the result of its last try.
 
-    :param result: the result of the try.
+    :param result: the result of the last try.
     :param executor: the executor's id.
     """
     raise TypeError(f"{type(result).__name__} is not the result of a try")
@@ -70,30 +75,30 @@
 
 @outcome_of.register
 def _(result: NotSent, executor: str) -> Outcome:
-    retry_after = spread(COME_BACK_S)
+    retry_after = jitter(RETRY_AFTER_S)
     return NotRun(code=status_codes.NO_EXECUTOR, detail=result.detail, retry_after=retry_after)
 
 
 @outcome_of.register
 def _(result: Refused, executor: str) -> Outcome:
-    retry_after = spread(COME_BACK_S)
+    retry_after = jitter(RETRY_AFTER_S)
     return NotRun(code=status_codes.EXECUTOR_REFUSED, detail=result.detail, retry_after=retry_after)
 
 
 @outcome_of.register
-def _(result: Whole, executor: str) -> Outcome:
+def _(result: Complete, executor: str) -> Outcome:
     return Answered(
         status=result.status, headers=result.headers, body=result.body, executor=executor
     )
 
 
 @outcome_of.register
-def _(result: PassedOn, executor: str) -> Outcome:
+def _(result: Relayed, executor: str) -> Outcome:
     return Streamed(status=result.status, size=result.size, executor=executor)
 
 
 @outcome_of.register
-def _(result: Cut, executor: str) -> Outcome:
+def _(result: Truncated, executor: str) -> Outcome:
     kind = BrokenOff if result.begun else Unknown
     return kind(code=status_codes.UNKNOWN_CUT, detail=result.detail, executor=executor)
 
--- a/mustardgap/task_starters.py
+++ b/mustardgap/task_starters.py
@@ -122,7 +122,7 @@
         link = self._dispatcher.isolation.choose(task, job, tasks, links)
         if link is not None:
             self._start(job, task, link, self._next_run_number())
-            self._dispatcher.isolation.begin(task, link)
+            self._dispatcher.isolation.note_started(task, link)
 
     def _cores_by_service(self, now: float) -> dict[str, float]:
         cores: dict[str, float] = {}
