--- a/mustardgap/owner_records.py
+++ b/mustardgap/owner_records.py
@@ -1,4 +1,4 @@
-"""The record that a shard's owner leaves: its epoch, and how it left."""
+"""The record of a shard's owner: its epoch, and whether it left gracefully."""
 
 import msgspec
 
@@ -6,10 +6,10 @@
 
 
 class OwnerRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Who owned a shard last.
+    """The last owner of a shard.
 
-    ``closed`` tells that it left in good order, and ``diverted`` that records may lie in the
-    shard's failover partition.
+    ``closed`` means that it left gracefully, and ``diverted`` that the shard's failover partition
+    may hold records.
     """
 
     epoch: int
@@ -18,23 +18,23 @@
 
 
 def encode_owner(epoch: int, *, closed: bool, diverted: bool = True) -> bytes:
-    """The durable form of who owns the shard, and whether it leaves in good order."""
+    """Encode an owner record for storage."""
     return msgspec.msgpack.encode(OwnerRecord(epoch, closed, diverted))
 
 
 def decode_owner(raw: bytes) -> OwnerRecord:
-    """An owner's record from its durable form.
+    """Decode a stored owner record.
 
-    :raises msgspec.DecodeError: it can't be read.
+    :raises msgspec.DecodeError: when it can't be decoded.
     """
     return msgspec.msgpack.decode(raw, type=OwnerRecord)
 
 
 def may_have_diverted(raw: bytes | None) -> bool:
-    """Whether a shard's failover partition may hold records, by its last owner's record.
+    """Whether a shard's failover partition may hold records, according to its last owner record.
 
-    An owner uses that partition only once its own record, not closed, stands in the primary one. So
-    without a record, or with one that says that nothing was left there, it holds none.
+    An owner uses that partition only once its owner record, not closed, is stored in the primary
+    one. So without an owner record, or with one that is closed and not diverted, it holds none.
     """
     if not raw:
         return False
--- a/mustardgap/records.py
+++ b/mustardgap/records.py
@@ -1,4 +1,4 @@
-"""Making and checking the records of the state stream."""
+"""Creation and validation of the records of the state stream."""
 
 import secrets
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 def new_id() -> str:
-    """Make an id that no other record has."""
+    """Return a new unique record id."""
     return secrets.token_urlsafe(ID_BYTES)
 
 
@@ -27,16 +27,16 @@
     time: float = 0.0,
     record_id: str = "",
 ) -> Record:
-    """Make a record.
+    """Create a record.
 
     :param kind: the kind of record, such as ``host``.
     :param body: the body that belongs to the kind.
-    :param writer: the daemon or tool that makes it.
-    :param seen: how many records the writer had folded.
-    :param time: the writer's time in seconds since the epoch, for people; no rule reads it.
-    :param record_id: the id to use; made up when empty.
+    :param writer: the daemon or tool that creates the record.
+    :param seen: the number of records the writer had applied.
+    :param time: the writer's time in seconds since the Unix epoch, for display only.
+    :param record_id: the id to use; a new one when empty.
     :rtype: Record
-    :raises RecordRejected: MG3012 when it is larger than a record may be.
+    :raises RecordRejected: MG3012 when the record exceeds the maximum size.
     """
     record = Record(
         id=record_id or new_id(),
@@ -49,22 +49,22 @@
     )
     size = len(msgspec.json.encode(record))
     if size > MAX_RECORD_BYTES:
-        detail = f"{size} bytes are more than {MAX_RECORD_BYTES}"
+        detail = f"record of {size} bytes exceeds the limit of {MAX_RECORD_BYTES} bytes"
         raise RecordRejected(code=status_codes.RECORD_INVALID, detail=detail)
     return record
 
 
 def check(value: Any) -> Record:
-    """Check the envelope of a record that was read from the log.
+    """Validate the envelope of a record that was read from the log.
 
     :param value: a JSON value.
     :rtype: Record
-    :raises RecordRejected: MG3004 when it needs newer rules, MG3012 when it is malformed.
+    :raises RecordRejected: MG3004 when it requires newer rules, MG3012 when it is malformed.
     """
     rules = value.get("rules") if isinstance(value, dict) else None
     if isinstance(rules, int) and rules > RULES_VERSION:
-        # Before all else: a newer writer may have changed the envelope too.
-        detail = f"the record needs rules {rules}, this daemon has {RULES_VERSION}"
+        # Checked first, because a newer writer may have changed the envelope, too.
+        detail = f"record requires rules version {rules}; this daemon supports {RULES_VERSION}"
         raise RecordRejected(code=status_codes.RULES_TOO_NEW, detail=detail)
     try:
         return msgspec.convert(value, Record)
