--- a/mustardgap/dispatchers.py
+++ b/mustardgap/dispatchers.py
@@ -211,7 +211,7 @@
         self.jobs_by_id.update(records.jobs_by_id)
         for entry in records.executors:
             self.roster.open(entry, inherited=True)
-        for executor in records.unread_executors:
+        for executor in records.unreadable_executors:
             self.roster.await_lease_expiry(executor)
         # Starts aren't stored: each executor that a former owner used tells what it runs. Until
         # all have, a task that isn't known to have ended may run on one of the others.
--- a/mustardgap/fleet_managers.py
+++ b/mustardgap/fleet_managers.py
@@ -14,7 +14,7 @@
 from .pool_views import PoolRequest, PoolView
 from .ports import Boards, Machines, NoAnswer, Refused, Store
 from .shard_logs import ShardLog
-from .shard_records import UNREADABLE, told
+from .shard_records import DECODE_ERRORS, describe_error
 from .timers import Clock
 from .workloads import Configuration, Service
 
@@ -173,9 +173,9 @@
                 continue
             try:
                 self._restore(key, value)
-            except UNREADABLE as exc:
+            except DECODE_ERRORS as exc:
                 # What was learned is learned again, and a wave's machines say what they have had.
-                self._events.note("record.invalid", vital=True, why=told(key, exc))
+                self._events.note("record.invalid", vital=True, why=describe_error(key, exc))
                 if key == RECENT_KEY:
                     self._leave_alone_until = self._clock.monotonic() + self.orders.apart_s
 
--- a/mustardgap/partition_logs.py
+++ b/mustardgap/partition_logs.py
@@ -1,4 +1,4 @@
-"""Appends to one partition of the store under one epoch, and reads of it."""
+"""Appends to, and reads from, one partition of the store under one epoch."""
 
 from collections.abc import Callable, Sequence
 
@@ -8,24 +8,24 @@
 from .tickets import Stored
 from .timers import Clock
 
-# The pause before an append that failed is repeated.
-RETRY_S = 0.1
-# The pause before a whole partition, which may be large, is read again.
-READ_RETRY_S = 0.2
+# The delay before a failed append or fence is repeated.
+RETRY_DELAY_S = 0.1
+# The delay before a failed read of a partition is repeated; a partition may be large.
+READ_RETRY_DELAY_S = 0.2
 
 
 class PartitionLog:
     """Writes to one of a shard's two partitions.
 
-    One append is under way at a time, numbered, and repeated until it is answered. So a lost answer
-    can't store a record twice, and an append that arrives late can't overwrite a newer record: its
-    sequence number has been used, or its epoch is fenced off.
+    One append at a time is in flight. It carries a sequence number and is repeated until it is
+    answered. So a lost answer can't store a record twice, and an append that arrives late can't
+    overwrite a newer record: its sequence number has been used, or its epoch is fenced off.
 
     :param store: the platform's store.
     :param shard: the shard's number.
     :param failover: whether this is the shard's failover partition.
-    :param epoch: the generation at which this daemon got the shard.
-    :param on_failing: called when appends begin to fail.
+    :param epoch: the generation at which the shard was assigned to this daemon.
+    :param on_failing: called when appends start to fail.
     :param clock: the clocks to read.
     :param events: the process's log.
     """
@@ -52,7 +52,7 @@
         self._sequence = 0
 
     def failing_s(self) -> float:
-        """For how many seconds appends have failed, 0 when the last one was answered."""
+        """Seconds for which appends have failed, 0 if the last one succeeded."""
         if self.failing_since is None:
             return 0.0
         return self._clock.monotonic() - self.failing_since
@@ -60,7 +60,7 @@
     async def fence(self) -> bool:
         """Fence off earlier owners.
 
-        :return: False when a later owner has done so to this one.
+        :return: False when a later owner has fenced this one off.
         """
         while True:
             outcome = await self._store.fence(
@@ -70,10 +70,10 @@
                 return True
             if isinstance(outcome, Fenced):
                 return False
-            await self._clock.sleep(RETRY_S)
+            await self._clock.sleep(RETRY_DELAY_S)
 
     async def newest(self) -> dict[str, bytes | None]:
-        """Read the newest value of each key, again and again until the store answers."""
+        """Read the newest value of each key, retrying until the store answers."""
         while True:
             outcome = await self._store.newest(shard=self._shard, failover=self._failover)
             if isinstance(outcome, Entries):
@@ -87,12 +87,12 @@
                 failover=self._failover,
                 why=outcome.detail,
             )
-            await self._clock.sleep(READ_RETRY_S)
+            await self._clock.sleep(READ_RETRY_DELAY_S)
 
     async def append(self, records: Sequence[Record]) -> Stored:
-        """Append records, again and again until the store answers.
+        """Append records, retrying until the store answers.
 
-        :return: anything but YES tells that another owner writes the shard.
+        :return: YES, or another value when this owner can no longer write the shard.
         """
         unanswered = False
         while True:
@@ -108,11 +108,11 @@
             metrics.store_appends.add(1, {"outcome": type(outcome).__name__})
             if isinstance(outcome, Appended):
                 self._sequence += 1
-                self._recovered()
+                self._note_recovery()
                 return Stored.YES
             if isinstance(outcome, Fenced):
                 self._events.note("shard.fenced", vital=True, shard=self._shard, epoch=self._epoch)
-                # An earlier try that got no answer may have been stored before the fence.
+                # An earlier attempt without an answer may have been stored before the fence.
                 return Stored.UNKNOWN if unanswered else Stored.NO
             if isinstance(outcome, WrongSequence):
                 self._note_sequence(outcome)
@@ -121,8 +121,8 @@
                     continue
                 return Stored.UNKNOWN
             unanswered = unanswered or isinstance(outcome, NoAnswer)
-            self._failed(outcome)
-            await self._clock.sleep(RETRY_S)
+            self._note_failure(outcome)
+            await self._clock.sleep(RETRY_DELAY_S)
 
     def _note_sequence(self, outcome: WrongSequence) -> None:
         self._events.note(
@@ -134,7 +134,7 @@
             expected=outcome.expected,
         )
 
-    def _failed(self, outcome: Refused | NoAnswer) -> None:
+    def _note_failure(self, outcome: Refused | NoAnswer) -> None:
         if self.failing_since is None:
             self.failing_since = self._clock.monotonic()
             self._events.note(
@@ -147,7 +147,7 @@
             )
             self._on_failing()
 
-    def _recovered(self) -> None:
+    def _note_recovery(self) -> None:
         if self.failing_since is not None:
             self._events.note(
                 "store.regained",
--- a/mustardgap/shard_records.py
+++ b/mustardgap/shard_records.py
@@ -1,4 +1,4 @@
-"""What a new owner reads of its shard's records; one that can't be read costs that record only."""
+"""Decoding of a shard's records by its new owner, which skips records that can't be decoded."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -10,20 +10,20 @@
 from .shard_logs import EXECUTOR_KEY, JOB_KEY, PROGRESS_KEY
 from .workloads import ExecutorEntry, ExecutorId
 
-# What decoding raises: bytes of another form, or a form with values that can't be.
-UNREADABLE = (msgspec.DecodeError, ValueError, KeyError, IndexError, TypeError)
+# Raised by decoding: the bytes have another format, or contain invalid values.
+DECODE_ERRORS = (msgspec.DecodeError, ValueError, KeyError, IndexError, TypeError)
 
 
 class ShardRecords(NamedTuple):
     """The records of one shard.
 
-    ``unread_executors`` were used by the former owner, and nothing else is known of them;
-    ``invalid`` tells what was wrong with each record that couldn't be read.
+    ``unreadable_executors`` were used by the previous owner, but their records can't be decoded;
+    ``invalid`` describes the error of each record that couldn't be decoded.
     """
 
     jobs_by_id: dict[str, Job]
     executors: list[ExecutorEntry]
-    unread_executors: list[ExecutorId]
+    unreadable_executors: list[ExecutorId]
     closed: bool
     invalid: list[str]
 
@@ -31,7 +31,7 @@
 def read_records(values: Mapping[str, bytes | None]) -> ShardRecords:
     """Decode a shard's newest records.
 
-    :param values: values by key; None or empty for one that was removed.
+    :param values: values by key; None or empty for a key that was removed.
     """
     present = {key: value for key, value in values.items() if value}
     invalid: list[str] = []
@@ -47,8 +47,8 @@
     return records
 
 
-def told(key: str, exc: Exception) -> str:
-    """What was wrong with a record, for a line of the log."""
+def describe_error(key: str, exc: Exception) -> str:
+    """Describe why a record couldn't be decoded, for the log."""
     return f"{key}: {type(exc).__name__}: {exc}"
 
 
@@ -56,8 +56,8 @@
     job_id = key.removeprefix(JOB_KEY)
     try:
         records.jobs_by_id[job_id] = decode_job(job_id, value)
-    except UNREADABLE as exc:
-        records.invalid.append(told(key, exc))
+    except DECODE_ERRORS as exc:
+        records.invalid.append(describe_error(key, exc))
 
 
 def _restore_progress(records: ShardRecords, key: str, value: bytes) -> None:
@@ -66,27 +66,27 @@
         return
     try:
         job.restore(value)
-    except UNREADABLE as exc:
-        # Nobody knows which of its tasks are done; started again, they would be done twice.
+    except DECODE_ERRORS as exc:
+        # Which of its tasks are done is unknown; if started again, some would run twice.
         job.held = True
-        records.invalid.append(told(key, exc))
+        records.invalid.append(describe_error(key, exc))
 
 
 def _read_executor(records: ShardRecords, key: str, value: bytes) -> None:
     try:
         records.executors.append(msgspec.msgpack.decode(value, type=ExecutorEntry))
-    except UNREADABLE as exc:
-        records.unread_executors.append(key.removeprefix(EXECUTOR_KEY))
-        records.invalid.append(told(key, exc))
+    except DECODE_ERRORS as exc:
+        records.unreadable_executors.append(key.removeprefix(EXECUTOR_KEY))
+        records.invalid.append(describe_error(key, exc))
 
 
 def _was_closed(raw: bytes | None, invalid: list[str]) -> bool:
-    """Whether the last owner left in good order; a shard that never had one counts as such."""
+    """Whether the last owner left gracefully; also True for a shard that never had an owner."""
     if raw is None:
         return True
     try:
         return decode_owner(raw).closed
-    except UNREADABLE as exc:
-        # An owner that can't be told to have left may still give leases.
-        invalid.append(told(OWNER_KEY, exc))
+    except DECODE_ERRORS as exc:
+        # An owner that isn't known to have left may still grant leases.
+        invalid.append(describe_error(OWNER_KEY, exc))
         return False
