--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -311,7 +311,7 @@
     async def main():
         owners = _owners(context.store, shards=count + 1, make=make)
         for shard in range(1, count + 1):
-            owners._begin(shard, 1)
+            owners._start_shard(shard, 1)
         await asyncio.sleep(0)
         await asyncio.gather(owners.leave(), return_exceptions=True)
 
--- a/features/steps/owners_parts_steps.py
+++ b/features/steps/owners_parts_steps.py
@@ -278,7 +278,7 @@
         for daemon in world.daemons_by_address.values()
         for shard, owned in daemon.owners.owned_by_shard.items()
         if not owned.ended.is_set()
-        and daemon.owners.settled()
+        and daemon.owners.is_membership_valid()
         and world.store.holders_by_shard.get(shard, daemon.owners.member) != daemon.owners.member
     }
 
--- a/mustardgap/platform/daemon.py
+++ b/mustardgap/platform/daemon.py
@@ -21,7 +21,7 @@
 from ..peer_calls import PeerClient, PeerServer, PeerUnreachable
 from ..policies import WHOLE, Policy
 from ..ports import Invalid
-from ..shard_owners import FLEET_SHARD, Owned, ShardOwners, shard_of
+from ..shard_owners import FLEET_SHARD, OwnedShard, ShardOwners, shard_of
 from ..standbys import address_of, member_name
 from ..supervisors import Supervisor
 from ..timers import Clock
@@ -225,7 +225,7 @@
     def _is_ready(self) -> bool:
         return self.operator.configuration is not None and not self._stopping.is_set()
 
-    def _make(self, shard: int, epoch: int) -> Owned:
+    def _make(self, shard: int, epoch: int) -> OwnedShard:
         promises = self.settings.promises
         if shard == FLEET_SHARD:
             return FleetManager(
@@ -237,7 +237,7 @@
                 machines=self.machines,
                 operator=self.operator,
                 ask=self.gateway.pool,
-                settled=self.owners.settled,
+                settled=self.owners.is_membership_valid,
                 times=Times(promises.move_s, promises.maintenance_s, promises.duty_lease_s),
                 clock=self.clock,
                 events=self.events,
@@ -256,9 +256,9 @@
                 promises.stop_timeout_s,
                 promises.contact_s + self.settings.executor_heartbeat_s,
             ),
-            fresh_s=self.owners.fresh_s,
+            fresh_s=self.owners.seconds_since_confirmed,
             entry_age_s=self.board.age_s,
-            settled=self.owners.settled,
+            settled=self.owners.is_membership_valid,
             policy=self.policy,
         )
         self._update_one(dispatcher)
--- a/mustardgap/shard_owners.py
+++ b/mustardgap/shard_owners.py
@@ -1,4 +1,4 @@
-"""Which shards this daemon owns, and who owns the others, as the store's group deals them out."""
+"""Membership in the store's group of owners, which assigns each shard to one daemon."""
 
 import asyncio
 import hashlib
@@ -11,41 +11,42 @@
 from .standbys import CLEAR_LOOK_S, LOOK_S, Standby, address_of, is_small
 from .timers import Clock
 
-# A daemon that dies is replaced after this. It is some four renewals, and a slow store's answer
-# takes a quarter of a second, so a slow store alone replaces nobody.
-TTL_S = 1.8
-RENEW_S = 0.45
-RETRY_S = 0.1
+# A member that hasn't renewed for this long loses its shards to others. It covers four renewals,
+# and a slow store answers within 0.25 s, so a slow store alone doesn't expire a membership.
+MEMBERSHIP_TTL_S = 1.8
+RENEW_INTERVAL_S = 0.45
+RETRY_DELAY_S = 0.1
 FLEET_SHARD = 0
-# The parts of an ownership end at once when they are told to; longer, and they never may.
-END_S = 1.0
-# A daemon without shards, or that has just let go of some, renews sooner: what is dealt anew is
-# served by nobody until both ends have renewed.
-SOON_S = 0.15
-LEAVING, DEALT = "leaving", "dealt to another"
-IN_GOOD_ORDER = (LEAVING, DEALT)
+# How long a shard's task may take to end after it was cancelled. It normally ends at once; one that
+# takes longer may never end.
+END_TIMEOUT_S = 1.0
+# The interval for a daemon without shards, or whose assignment has just changed: a shard that moves
+# is served by nobody until both its old and its new owner have renewed.
+FAST_RENEW_INTERVAL_S = 0.15
+LEAVING, REASSIGNED = "leaving", "assigned to another member"
+GRACEFUL_REASONS = (LEAVING, REASSIGNED)
 
 
-class Owned(Protocol):
-    """What is run for a shard while it is owned."""
+class OwnedShard(Protocol):
+    """The service that a daemon runs for a shard while it owns it."""
 
     ended: asyncio.Event
 
     async def run(self) -> None:
-        """Take the shard over and serve it."""
+        """Load the shard's state and serve it."""
 
     async def hand_over(self) -> None:
-        """Stop in good order, just before being cancelled."""
+        """Shut down gracefully; called just before ``run`` is cancelled."""
 
 
 class ShardOwners:
-    """Keeps this daemon in the group of owners, and runs what it owns.
+    """Keeps this daemon in the group of owners, and runs the shards assigned to it.
 
     :param store: the platform's store.
-    :param member: this daemon's name in the group, the same for each process of the host.
-    :param shards: how many shards there are.
-    :param make: makes what is run for a shard at an epoch.
-    :param reach: calls the daemon at an address; whether it has answered.
+    :param member: this daemon's name in the group, the same for every process of the host.
+    :param shards: the number of shards.
+    :param make: creates the service for a shard, given the shard and its epoch.
+    :param reach: calls the daemon at an address and returns whether it answered.
     :param clock: the clocks to read.
     :param events: the process's log.
     """
@@ -56,14 +57,14 @@
         store: Store,
         member: str,
         shards: int,
-        make: Callable[[int, int], Owned],
+        make: Callable[[int, int], OwnedShard],
         reach: Callable[[str], Awaitable[bool]],
         clock: Clock,
         events: EventLog,
     ) -> None:
         self.member = member
         self.generation = 0
-        self.owned_by_shard: dict[int, Owned] = {}
+        self.owned_by_shard: dict[int, OwnedShard] = {}
         self.members_by_shard: dict[int, str] = {}
         self._store = store
         self._make = make
@@ -74,64 +75,65 @@
         self._tasks_by_shard: dict[int, asyncio.Task[None]] = {}
         self._confirmed_at: float | None = None
         self._failing = False
-        self._owners_of = 0
+        self._owners_generation = 0
         self._leaving = False
         self._standby = Standby(shards=shards, clock=clock) if is_small(member) else None
-        self._looked_at = float("-inf")
-        self._looks = 0
-        # Held while shards are taken and given up. A daemon that was told to leave while a new deal
-        # took shards away gave one up twice, and ended by the error; or the deal went on behind its
-        # back and took shards that the daemon had just given up.
-        self._dealing = asyncio.Lock()
-
-    def fresh_s(self) -> float:
-        """Seconds since the store last confirmed the membership; counted from the request."""
+        self._owners_checked_at = float("-inf")
+        self._owner_checks = 0
+        # Held while shards are started and released. Without it, a daemon that left during a
+        # reassignment released a shard twice and ended with an error, or the reassignment started
+        # shards again that the daemon had just released.
+        self._assignment_lock = asyncio.Lock()
+
+    def seconds_since_confirmed(self) -> float:
+        """Seconds since the request by which the store last confirmed the membership."""
         if self._confirmed_at is None:
             return float("inf")
         return self._clock.monotonic() - self._confirmed_at
 
-    def settled(self) -> bool:
-        """Whether nobody else can have been given this daemon's shards yet."""
-        return self.fresh_s() < TTL_S and not self._leaving
+    def is_membership_valid(self) -> bool:
+        """Whether the store can't yet have assigned this daemon's shards to others."""
+        return self.seconds_since_confirmed() < MEMBERSHIP_TTL_S and not self._leaving
 
     def address_of(self, shard: int) -> str | None:
-        """Where the peers of a shard's owner call it, None while nobody is known."""
+        """The address at which peers call a shard's owner, None while the owner is unknown."""
         member = self.members_by_shard.get(shard)
         return address_of(member) if member else None
 
     async def run(self) -> None:
         """Renew the membership until cancelled."""
-        # It owns something if it is run again after it failed. Leaving lets others have the shards
-        # at once, while this daemon would be sure of them for as long as a membership lasts.
-        async with self._dealing:
+        # This daemon still owns shards if this is run again after a failure. They are released
+        # first: once it leaves, others may take them at once, although this daemon's own membership
+        # would still look valid until it expires.
+        async with self._assignment_lock:
             if not self._leaving:
-                await self._start_afresh()
+                await self._reset_membership()
         while not self._leaving:
-            if self._standby is not None and not await self._is_wanted(self._standby):
+            if self._standby is not None and not await self._must_own_shards(self._standby):
                 await self._clock.sleep(LOOK_S)
                 continue
             before = self.generation
             if await self._renew():
-                soon = self.generation != before or not self.owned_by_shard
-                await self._clock.sleep(SOON_S if soon else RENEW_S)
+                renew_fast = self.generation != before or not self.owned_by_shard
+                await self._clock.sleep(FAST_RENEW_INTERVAL_S if renew_fast else RENEW_INTERVAL_S)
             else:
-                await self._clock.sleep(RETRY_S)
+                await self._clock.sleep(RETRY_DELAY_S)
 
-    async def _is_wanted(self, standby: Standby) -> bool:
-        """Whether this daemon's small host has to own shards; gives them back if not any more."""
+    async def _must_own_shards(self, standby: Standby) -> bool:
+        """Whether this daemon on a small host must own shards; releases them once it needn't."""
         now = self._clock.monotonic()
-        if now - self._looked_at < LOOK_S:
+        if now - self._owners_checked_at < LOOK_S:
             return standby.wanted
-        self._looked_at = now
+        self._owners_checked_at = now
         if not await self._read_owners():
             return standby.wanted
         others = sorted(set(self.members_by_shard.values()) - {self.member})
         if self._clock.monotonic() - now > CLEAR_LOOK_S:
             standby.note_unclear()
         elif others:
-            # One a look: with 30 hosts standing by, each of 10 owners is called 6 times a second.
-            self._looks += 1
-            other = others[self._looks % len(others)]
+            # One owner per check: with 30 standby hosts, each of 10 owners gets 6 calls a second.
+            self._owner_checks += 1
+            other = others[self._owner_checks % len(others)]
             standby.note_call(other, answered=await self._reach(address_of(other)))
         if standby.note(self.members_by_shard, owns=bool(self.owned_by_shard)):
             self._events.note(
@@ -142,82 +144,87 @@
                 known=len(self.members_by_shard),
             )
             if not standby.wanted:
-                async with self._dealing:
+                async with self._assignment_lock:
                     if not self._leaving:
-                        await self._start_afresh()
+                        await self._reset_membership()
         return standby.wanted
 
-    async def _end_earlier_life(self) -> None:
-        """Take the membership of this host's earlier process back.
+    async def _end_previous_membership(self) -> None:
+        """End the membership of this host's previous process.
 
-        That process is dead, as a host runs one at a time. Until its membership lapsed, its shards
-        would be served by nobody, and with its name this process would get its epoch again.
+        A host runs one process at a time, so that process is dead. Until its membership expired,
+        nobody would serve its shards, and this process, which has the same name, would be given
+        the same epoch again.
         """
-        # A daemon that is told to leave waits for this, and must not wait for a store that is away.
+        # ``leave`` waits for this loop, and mustn't wait while the store is unavailable.
         while not self._leaving:
             outcome = await self._store.leave(member=self.member)
             if isinstance(outcome, Done):
                 return
-            self._failed(outcome)
-            await self._clock.sleep(RETRY_S)
+            self._note_failure(outcome)
+            await self._clock.sleep(RETRY_DELAY_S)
 
     async def leave(self) -> None:
-        """Stop owning, and let others take over at once."""
+        """Release all shards and leave the group, so that others can take over at once."""
         self._leaving = True
-        async with self._dealing:
-            await asyncio.gather(*(self._give_up(s, LEAVING) for s in list(self.owned_by_shard)))
+        async with self._assignment_lock:
+            await asyncio.gather(
+                *(self._release_shard(s, LEAVING) for s in list(self.owned_by_shard))
+            )
         await self._store.leave(member=self.member)
         self._events.note("group.left", vital=True, member=self.member)
 
     async def _renew(self) -> bool:
         sent_at = self._clock.monotonic()
         outcome = await self._store.join(
-            member=self.member, generation=self.generation, ttl_s=TTL_S
+            member=self.member, generation=self.generation, ttl_s=MEMBERSHIP_TTL_S
         )
         if self._leaving:
-            # Taken in after the leaving, it would hold shards that nobody serves until it lapses.
+            # A renewal that the store applies after the leave would hold shards that nobody serves
+            # until the membership expires.
             if not isinstance(outcome, Refused):
                 await self._store.leave(member=self.member)
             return True
         if not isinstance(outcome, Joined):
-            self._failed(outcome)
+            self._note_failure(outcome)
             return False
         if self._failing:
             self._failing = False
             self._events.note("group.regained", vital=True, generation=outcome.generation)
-        quiet_s = self.fresh_s()
+        unconfirmed_s = self.seconds_since_confirmed()
         self._confirmed_at = sent_at
-        async with self._dealing:
+        async with self._assignment_lock:
             if not self._leaving:
-                await self._take_in(outcome, quiet_s)
-        if self._owners_of != self.generation:
+                await self._apply_membership(outcome, unconfirmed_s)
+        if self._owners_generation != self.generation:
             await self._read_owners()
         return True
 
-    async def _take_in(self, joined: Joined, quiet_s: float) -> None:
+    async def _apply_membership(self, joined: Joined, unconfirmed_s: float) -> None:
         changed = joined.generation != self.generation
-        if changed and quiet_s >= TTL_S:
-            # Others may have owned the shards meanwhile, and have accepted jobs that aren't known
-            # here: their callers would be told that no such job exists. Each is read anew.
+        if changed and unconfirmed_s >= MEMBERSHIP_TTL_S:
+            # Others may have owned the shards in the meantime and accepted jobs that this daemon
+            # doesn't know; it would answer that no such job exists. Each shard is loaded anew.
             for shard in list(self.owned_by_shard):
-                await self._give_up(shard, "membership lapsed")
+                await self._release_shard(shard, "membership lapsed")
         for shard in [s for s in self.owned_by_shard if s not in joined.shards]:
-            await self._give_up(shard, DEALT)
-        # What isn't listed any more has been given up above, before the next renewal names this
-        # generation: only then does the store deal it to another.
+            await self._release_shard(shard, REASSIGNED)
+        # Shards that are no longer assigned have been released above, before the next renewal
+        # carries this generation: only then does the store assign them to another member.
         self.generation = joined.generation
         for shard in joined.shards:
             owned = self.owned_by_shard.get(shard)
             if owned is not None and self._has_ended(shard):
-                await self._give_up(shard, "ended")
+                await self._release_shard(shard, "ended")
                 if joined.generation <= self._epoch_by_shard[shard]:
-                    # A part of it failed, and nobody else has got the shard. It would lie idle
-                    # until the group changes; leaving changes it, and brings a new epoch.
-                    await self._start_afresh()
+                    # A task of the shard failed, and it is still assigned to this daemon. Nobody
+                    # would serve it until the group changes; leaving changes the group, and joining
+                    # again gives a new epoch.
+                    await self._reset_membership()
                     return
                 owned = None
             if owned is None and joined.generation > self._epoch_by_shard.get(shard, 0):
-                self._begin(shard, joined.generation)
+                self._start_shard(shard, joined.generation)
         if changed:
             self._events.note(
                 "group.generation",
@@ -226,17 +233,17 @@
             )
 
     def _has_ended(self, shard: int) -> bool:
-        # Its task counts, too: an ownership that fails may not come to say that it has ended, and
-        # its shard would be held and served by nobody.
+        # The task is checked, too: a service that fails may not set ``ended``, and its shard would
+        # be held without being served.
         return self.owned_by_shard[shard].ended.is_set() or self._tasks_by_shard[shard].done()
 
-    async def _start_afresh(self) -> None:
+    async def _reset_membership(self) -> None:
         for shard in list(self.owned_by_shard):
-            await self._give_up(shard, LEAVING)
-        await self._end_earlier_life()
+            await self._release_shard(shard, LEAVING)
+        await self._end_previous_membership()
         self.generation = 0
 
-    def _begin(self, shard: int, epoch: int) -> None:
+    def _start_shard(self, shard: int, epoch: int) -> None:
         owned = self._make(shard, epoch)
         self._epoch_by_shard[shard] = epoch
         self.owned_by_shard[shard] = owned
@@ -245,32 +252,33 @@
         metrics.shard_changes.add(1, {"change": "gained"})
         self._events.note("shard.gained", vital=True, shard=shard, epoch=epoch)
 
-    async def _give_up(self, shard: int, why: str) -> None:
+    async def _release_shard(self, shard: int, why: str) -> None:
         owned = self.owned_by_shard.pop(shard)
         if self.members_by_shard.get(shard) == self.member:
             del self.members_by_shard[shard]
         task = self._tasks_by_shard.pop(shard)
-        if why in IN_GOOD_ORDER:
+        if why in GRACEFUL_REASONS:
             await self._hand_over(shard, owned)
         task.cancel()
-        if why_failed := await cancellations.why_not_ended(task, timeout_s=END_S):
-            self._events.note("shard.failed", vital=True, shard=shard, why=why_failed)
+        if failure := await cancellations.why_not_ended(task, timeout_s=END_TIMEOUT_S):
+            self._events.note("shard.failed", vital=True, shard=shard, why=failure)
         metrics.shard_changes.add(1, {"change": "lost"})
         self._events.note(
             "shard.lost", vital=True, shard=shard, epoch=self._epoch_by_shard[shard], why=why
         )
 
-    async def _hand_over(self, shard: int, owned: Owned) -> None:
-        # One shard that can't be handed over mustn't keep the others, and the group, from others.
+    async def _hand_over(self, shard: int, owned: OwnedShard) -> None:
+        # A shard that fails to hand over mustn't prevent the release of the other shards or the
+        # leave.
         try:
             await cancellations.run_part(owned.hand_over)
         except Exception as exc:
             self._events.note("shard.not_handed_over", vital=True, shard=shard, why=repr(exc))
 
     async def _read_owners(self) -> bool:
-        """Read who owns what.
+        """Read the owners of all shards.
 
-        :return: whether the store has answered.
+        :return: whether the store answered.
         """
         generation = self.generation
         outcome = await self._store.owners()
@@ -279,14 +287,14 @@
         self.members_by_shard = dict(outcome)
         for shard in self.owned_by_shard:
             self.members_by_shard[shard] = self.member
-        self._owners_of = generation
+        self._owners_generation = generation
         return True
 
     async def refresh(self) -> None:
-        """Read anew who owns what, for example after an owner couldn't be reached."""
+        """Read the owners again, for example after an owner couldn't be reached."""
         await self._read_owners()
 
-    def _failed(self, outcome: Refused | NoAnswer) -> None:
+    def _note_failure(self, outcome: Refused | NoAnswer) -> None:
         if not self._failing:
             self._failing = True
             self._events.note(
@@ -295,10 +303,10 @@
 
 
 def shard_of(service: str, shards: int) -> int:
-    """The shard that holds a service's jobs; shard 0 is the fleet's.
+    """Return the shard that holds a service's jobs; shard 0 is reserved for the fleet.
 
     :param service: the service's name.
-    :param shards: how many shards there are.
+    :param shards: the number of shards.
     """
     if shards < 2:
         return FLEET_SHARD
@@ -307,10 +315,11 @@
 
 
 def failover_partition(shard: int, shards: int) -> int:
-    """The partition that takes a shard's records while its own one takes none.
+    """Return the partition that takes a shard's records while its primary one takes none.
 
-    Half of all lie between the two, so that neighbours that are away together aren't both.
+    The two are half the number of partitions apart, so that an outage of neighbouring partitions
+    doesn't affect both.
 
-    :param shards: how many shards there are.
+    :param shards: the number of shards.
     """
     return (shard + shards // 2) % shards
--- a/tools/owner_daemons.py
+++ b/tools/owner_daemons.py
@@ -14,7 +14,7 @@
 from mustardgap.job_gateways import JobGateway
 from mustardgap.peer_calls import PeerUnreachable
 from mustardgap.ports import Granted, Invalid
-from mustardgap.shard_owners import FLEET_SHARD, Owned, ShardOwners, shard_of
+from mustardgap.shard_owners import FLEET_SHARD, OwnedShard, ShardOwners, shard_of
 from mustardgap.standbys import member_name
 from mustardgap.workloads import (
     Configuration,
@@ -162,7 +162,7 @@
         async def reach(address: str) -> bool:
             return await self.gateway.reach(address)
 
-        def make(shard: int, epoch: int) -> Owned:
+        def make(shard: int, epoch: int) -> OwnedShard:
             if shard == FLEET_SHARD:
                 return FleetManager(
                     shard=shard,
@@ -173,7 +173,7 @@
                     machines=machines,
                     operator=self.operator,
                     ask=self.gateway.pool,
-                    settled=self.owners.settled,
+                    settled=self.owners.is_membership_valid,
                     times=Times(1.5, 2.0, 3.0),
                     clock=self.clock,
                     events=self.events,
@@ -187,9 +187,9 @@
                 clock=self.clock,
                 events=self.events,
                 bounds=Bounds(stop_timeout_s=1.6),
-                fresh_s=self.owners.fresh_s,
+                fresh_s=self.owners.seconds_since_confirmed,
                 entry_age_s=self.board.age_s,
-                settled=self.owners.settled,
+                settled=self.owners.is_membership_valid,
                 policy=world.policy,
             )
             self._update_one(dispatcher)
