--- a/mustardgap/dispatchers.py
+++ b/mustardgap/dispatchers.py
@@ -215,7 +215,7 @@
         self.jobs_by_id.update(records.jobs_by_id)
         for entry in records.executors:
             self.roster.open(entry, inherited=True)
-        for executor in records.unread_executors:
+        for executor in records.unreadable_executors:
             self.roster.await_lease_expiry(executor)
         # Starts aren't stored; each executor that an earlier owner used reports what it runs. Until
         # all of them have reported, a task that isn't known to have ended may be running on one
