--- a/features/steps/bounds_steps.py
+++ b/features/steps/bounds_steps.py
@@ -5,7 +5,7 @@
 from mustardgap.day_bounds import fates, uses_by_pool, worst_windows
 from mustardgap.job_stories import Line
 from mustardgap.pool_demands import Forecast
-from mustardgap.pool_uses import PoolTally, use_of
+from mustardgap.pool_uses import PoolTally, split_use
 from mustardgap.pool_views import ExecutorView, PoolView
 
 REFUSED = ("submit.answered", {"status": 503, "code": "MG4027", "why": "nobody owns the queue yet"})
@@ -79,9 +79,9 @@
 
 
 FORECASTS = {
-    "not risen yet": Forecast(risen=False, soon=False),
-    "risen": Forecast(risen=True, soon=False),
-    "risen, and will": Forecast(risen=True, soon=True),
+    "not risen yet": Forecast(has_risen=False, rise_due=False),
+    "risen": Forecast(has_risen=True, rise_due=False),
+    "risen, and will": Forecast(has_risen=True, rise_due=True),
 }
 
 
@@ -98,7 +98,7 @@
     "that has {state} has {idle:d} machines for {purpose}"
 )
 def check_use(context, size, busy, state, idle, purpose):
-    use = use_of(view_of(size, busy), FORECASTS[state], coming=0, leaving=0, seconds=1.0)
+    use = split_use(view_of(size, busy), FORECASTS[state], coming=0, leaving=0, seconds=1.0)
     assert use.at_work == busy and getattr(use, purpose) == idle, use
     assert sum(use) == size, use
 
--- a/features/steps/capacities_steps.py
+++ b/features/steps/capacities_steps.py
@@ -92,7 +92,7 @@
         for n, share in enumerate(capacities.split(","))
     ]
     running = int(work * CAPACITY.cpu * FILL_SHARE)
-    demand = PoolDemand(given=4)
+    demand = PoolDemand(first_size=4)
     view = PoolView("quoting", 0, running, 0, executors)
     demand.note(view, 0.0)
     context.balance = demand.balance(view, Forecast(True, False), coming=0, returning=0, leaving=0)
--- a/features/steps/moves_steps.py
+++ b/features/steps/moves_steps.py
@@ -155,13 +155,13 @@
     "goes from {before:d} machines to {now:d} in 0.4 s"
 )
 def arrivals_grow(context, size, before, now):
-    demand = PoolDemand(given=size)
+    demand = PoolDemand(first_size=size)
     executors = [ExecutorView(f"x{n}", CORES, 0, 0, 0, True, False) for n in range(1)]
     for at, machines in ((0.0, before), (0.2, (before + now) / 2), (0.4, now)):
         arriving = int(machines * CORES * FILL_SHARE)
         view = PoolView("quotes", 0, CORES, 0, executors, arriving_cpu=arriving)
         demand.note(view, at)
-    forecast = Forecast(risen=True, soon=False)
+    forecast = Forecast(has_risen=True, rise_due=False)
     balance = demand.balance(view, forecast, coming=0, returning=0, leaving=0)
     context.asked = len(executors) + balance.missing
 
--- a/mustardgap/fleet_managers.py
+++ b/mustardgap/fleet_managers.py
@@ -125,7 +125,7 @@
         )
 
     def _is_needed(self, service: str) -> bool:
-        return self._policy.has(Mechanism.WAVE_PATIENCE) and self.moves.needs_all(service)
+        return self._policy.has(Mechanism.WAVE_PATIENCE) and self.moves.needs_all_machines(service)
 
     async def run(self) -> None:
         """Take the shard over, and order machines about until fenced off or cancelled."""
--- a/mustardgap/fleet_moves.py
+++ b/mustardgap/fleet_moves.py
@@ -1,4 +1,4 @@
-"""Moves of machines between pools and standby, as the pools' demand turns."""
+"""Decides which machines move between the pools and standby as the pools' demand changes."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Iterator
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from .demand_rises import DemandRises, Rise
 from .events import EventLog
 from .fleet_orders import WORD_S
 from .fleet_states import FleetState, Times
@@ -16,24 +17,24 @@
 from .pool_views import PoolView
 from .shard_logs import ShardLog
 from .timers import Clock
-from .turns import Turn, Turns
 from .workloads import Configuration, Machine
 
-# Beside the move itself, a machine that is brought for a rise needs this long to be found, listed
-# and held.
-LEAD_SLACK_S = 0.9
-# A rise that is expected may come this much late before its machines are let go again.
-RISE_SLACK_S = 1.0
-# Pools lend to one that has been short for this long. Single large jobs make a pool short for less.
-SHORT_S = 0.4
+# Time that a machine brought for a rise needs in addition to the move itself: to be found, listed
+# and leased.
+LEAD_MARGIN_S = 0.9
+# An expected rise may begin this much late before the machines brought for it are released.
+RISE_TOLERANCE_S = 1.0
+# Other pools lend to a pool once it has been short for this long. Single large jobs make a pool
+# short for less.
+LENDING_DELAY_S = 0.4
 LEARNED_KEY = "learned"
 
 
 class Learned(NamedTuple):
-    """What is kept of the pools' demand: their first sizes, rises and highest demands."""
+    """What is stored of the pools' demand: first sizes, rises and peaks in machines."""
 
-    given: dict[str, int] = {}
-    seen: list[Turn] = []
+    first_sizes: dict[str, int] = {}
+    rises: list[Rise] = []
     peaks: dict[str, float] = {}
 
 
@@ -47,13 +48,13 @@
 class FleetMoves:
     """Moves machines to the pools that need them.
 
-    :param state: the fleet as it is known.
-    :param log: the fleet's shard, for what is learned.
-    :param times: what orders take.
-    :param order_idle: orders a machine of a standby pool to another.
+    :param state: the known state of the fleet.
+    :param log: the log of the fleet's shard, which stores what was learned of the demand.
+    :param times: the expected durations of orders.
+    :param order_idle: orders the move of a machine of a standby pool to another pool.
     :param clock: the clocks to read.
     :param events: the process's log.
-    :param policy: what takes part.
+    :param policy: the mechanisms in use.
     """
 
     def __init__(
@@ -76,55 +77,55 @@
         self._policy = policy
         self._demands_by_service: dict[str, PoolDemand] = {}
         self._tallies_by_service: dict[str, PoolTally] = {}
-        # Pools that lack machines, and since when.
+        # Pools that lack machines, and since when, in monotonic seconds.
         self._short_since: dict[str, float] = {}
-        self._turns = Turns()
+        self._rises = DemandRises()
         self._learned = Learned()
 
     def restore(self, raw: bytes) -> None:
-        """Take in what a former owner had learned."""
+        """Restore what a former owner of the shard had learned."""
         self._learned = msgspec.msgpack.decode(raw, type=Learned)
-        self._turns.seen = list(self._learned.seen)
-        self._turns.peak_by_service = dict(self._learned.peaks)
+        self._rises.seen = list(self._learned.rises)
+        self._rises.peak_by_service = dict(self._learned.peaks)
 
     def note_sizes(self, machines: Iterable[Machine]) -> None:
-        """Note the pools' sizes before any machine was moved."""
-        if not self._learned.given:
+        """Record the pools' sizes before any machine was moved."""
+        if not self._learned.first_sizes:
             sizes = Counter(machine.pool for machine in machines)
-            self._learned = self._learned._replace(given=dict(sizes))
+            self._learned = self._learned._replace(first_sizes=dict(sizes))
             self._store_learned()
 
     def note(self, service: str, view: PoolView, now: float) -> None:
-        """Take in a pool's demand.
+        """Update a pool's demand from a view of the pool.
 
-        :param now: steady seconds.
+        :param now: monotonic seconds.
         """
-        if not self._learned.given:
+        if not self._learned.first_sizes:
             return
         demand = self._demands_by_service.get(service)
         if demand is None:
-            given = self._learned.given.get(service, 0)
-            demand = PoolDemand(given=given, policy=self._policy)
+            first_size = self._learned.first_sizes.get(service, 0)
+            demand = PoolDemand(first_size=first_size, policy=self._policy)
             self._demands_by_service[service] = demand
         demand.note(view, now)
-        # Lasting tasks come once and stay. Counted as a rise, they had pools foresee the next one
-        # from their arrival, and let go of 31 of 40 machines 7 s before the rise that came.
-        machines = demand.passing_machines(view)
-        if self._turns.note(service, machines, self._clock.wall(), given=demand.given):
+        # Lasting tasks arrive once and stay. When their arrival was counted as a rise, pools
+        # forecast the next rise from it, and released 31 of 40 machines 7 s before the real one.
+        machines = demand.batch_machines(view)
+        if self._rises.note(service, machines, self._clock.wall(), given=demand.first_size):
             self._store_learned()
 
-    def needs_all(self, service: str) -> bool:
-        """Whether a pool has no machine to spare now."""
-        return service in self._short_since or self._turns.is_risen(service)
+    def needs_all_machines(self, service: str) -> bool:
+        """Return whether a pool has no machine to spare now."""
+        return service in self._short_since or self._rises.is_risen(service)
 
     def demand(self, service: str) -> float:
-        """A pool's demand in machines, 0 if it isn't known."""
+        """Return a pool's demand in machines, 0 if it isn't known."""
         demand = self._demands_by_service.get(service)
         view = self._state.views_by_service.get(service)
         return demand.machines(view) if demand is not None and view is not None else 0.0
 
     def plan(self, configuration: Configuration, due: set[str]) -> None:
-        """Bring machines to pools that lack some, and let go what isn't needed.
+        """Move machines to pools that lack some, and release those that aren't needed.
 
         :param due: machines that a wave will take.
         """
@@ -132,8 +133,8 @@
         standby = [s.name for s in configuration.services_by_name.values() if s.standby]
         if not standby:
             return
-        short: dict[str, int] = {}
-        liked: dict[str, int] = {}
+        missing: dict[str, int] = {}
+        desired: dict[str, int] = {}
         surplus: list[Machine] = []
         lendable_by_service: dict[str, list[Machine]] = {}
         for service, view in self._state.views_by_service.items():
@@ -142,9 +143,9 @@
                 continue
             balance = self._balance(service, view, now)
             if balance.missing:
-                short[service] = balance.missing
-            elif balance.liked:
-                liked[service] = balance.liked
+                missing[service] = balance.missing
+            elif balance.desired:
+                desired[service] = balance.desired
             elif balance.spare or balance.lendable:
                 count = balance.spare + balance.lendable
                 machines = self._spare_machines(service, view, count, due, now)
@@ -155,21 +156,25 @@
             for name, machine in sorted(self._state.machines_by_id.items())
             if machine.pool in standby and self._state.free_to_close(name, now)
         ]
-        self._short_since = {s: self._short_since.get(s, now) for s in short}
+        self._short_since = {s: self._short_since.get(s, now) for s in missing}
         idle.sort(key=lambda machine: machine.machine in due)
-        for service, machine in _in_turn(short, idle):
+        for service, machine in _round_robin(missing, idle):
             self._order_idle(machine, service)
-        for service, machine in _in_turn(short, surplus):
+        for service, machine in _round_robin(missing, surplus):
             self._state.close(machine, pool=service)
-        # Those that are short for long get what others only keep for their next rise.
-        needy = {s: count for s, count in short.items() if now - self._short_since[s] >= SHORT_S}
+        # Pools that stay short also get machines that others only keep for their next rise.
+        borrowers = {
+            s: count
+            for s, count in missing.items()
+            if now - self._short_since[s] >= LENDING_DELAY_S
+        }
         if not self._policy.has(Mechanism.LENDING):
-            needy = {}
-        for service, machine in _in_turn(needy, _alternating(lendable_by_service.values())):
+            borrowers = {}
+        for service, machine in _round_robin(borrowers, _interleave(lendable_by_service.values())):
             self._state.close(machine, pool=service)
-        for service, machine in _in_turn(liked, idle):
+        for service, machine in _round_robin(desired, idle):
             self._order_idle(machine, service)
-        for service, machine in _in_turn(liked, surplus):
+        for service, machine in _round_robin(desired, surplus):
             self._state.close(machine, pool=service)
         for machine in surplus:
             self._state.close(machine, pool=standby[0])
@@ -185,8 +190,10 @@
         coming = len(ordered) + sum(1 for closing in closings if closing.pool == service)
         leaving = sum(1 for closing in closings if closing.source == service)
         wall = self._clock.wall()
-        next_at = self._turns.next_at(service, len(self._state.views_by_service), wall)
-        forecast = Forecast(risen=self._turns.has_risen(service), soon=self._is_near(next_at, wall))
+        next_at = self._rises.next_at(service, len(self._state.views_by_service), wall)
+        forecast = Forecast(
+            has_risen=self._rises.has_risen(service), rise_due=self._is_rise_due(next_at, wall)
+        )
         demand = self._demands_by_service[service]
         balance = demand.balance(
             view, forecast, coming=coming, returning=returning, leaving=leaving
@@ -206,25 +213,30 @@
                 leaving=leaving,
                 missing=balance.missing,
                 spare=balance.spare,
-                liked=balance.liked,
+                liked=balance.desired,
                 lendable=balance.lendable,
                 next_rise_s=next_at - wall if next_at is not None else None,
-                risen=self._turns.is_risen(service),
+                risen=self._rises.is_risen(service),
                 arriving_cpu=view.arriving_cpu,
             )
         return balance
 
-    def _is_near(self, next_at: float | None, wall: float) -> bool:
-        """Whether a machine that is brought now would be there as the next rise begins."""
+    def _is_rise_due(self, next_at: float | None, wall: float) -> bool:
+        """Return whether a machine brought now would arrive about when the next rise begins."""
         if next_at is None or not self._policy.has(Mechanism.FORESIGHT):
             return False
-        lead_s = self._times.move_s + LEAD_SLACK_S
-        return abs(next_at - lead_s / 2 - wall) <= lead_s / 2 + RISE_SLACK_S
+        lead_s = self._times.move_s + LEAD_MARGIN_S
+        return abs(next_at - lead_s / 2 - wall) <= lead_s / 2 + RISE_TOLERANCE_S
 
     def _spare_machines(
         self, service: str, view: PoolView, count: int, due: set[str], now: float
     ) -> list[Machine]:
-        """The machines that are easiest to do without: without lasting tasks, and idle."""
+        """Return machines without lasting tasks, the least busy first.
+
+        :param count: return at most this many.
+        :param due: machines that a wave will take; among equally busy ones they come first.
+        :param now: monotonic seconds.
+        """
         executors = {e.executor: e for e in view.executors}
         machines = [
             machine
@@ -243,22 +255,24 @@
         return machines[:count]
 
     def _store_learned(self) -> None:
-        """Keep what was learned of demand; a successor would have to see all rises again."""
-        learned = Learned(self._learned.given, self._turns.seen, self._turns.peak_by_service)
+        """Store what was learned, as a successor would have to see all rises again without it."""
+        learned = Learned(self._learned.first_sizes, self._rises.seen, self._rises.peak_by_service)
         self.log.put(LEARNED_KEY, msgspec.msgpack.encode(learned))
 
 
-def _alternating(groups: Iterable[list[Machine]]) -> list[Machine]:
-    """The machines of pools, one a pool in turn, so that none lends all and another nothing."""
+def _interleave(groups: Iterable[list[Machine]]) -> list[Machine]:
+    """Return the machines of all pools, one a pool in turn, so that lending is spread evenly."""
     rounds = zip_longest(*groups)
     return [machine for round_ in rounds for machine in round_ if machine is not None]
 
 
-def _in_turn(count_by_service: dict[str, int], machines: list[Machine]) -> Iterator[Assignment]:
-    """Deal machines out, one a pool in turn, so that pools that rise together share what there is.
+def _round_robin(count_by_service: dict[str, int], machines: list[Machine]) -> Iterator[Assignment]:
+    """Assign machines to pools in turn, so that pools that rise together share what is free.
+
+    Both arguments are changed: what was assigned is removed from them.
 
-    :param count_by_service: how many machines each pool is to get; what was dealt is taken off.
-    :param machines: what there is, the first ones first; what was dealt is taken out.
+    :param count_by_service: how many machines each pool is to get.
+    :param machines: the free machines, those to assign first at the front.
     """
     while count_by_service and machines:
         for service in list(count_by_service):
--- a/mustardgap/pool_uses.py
+++ b/mustardgap/pool_uses.py
@@ -1,12 +1,13 @@
-"""What a pool's machines were for, in machine-seconds, told once a second."""
+"""Accounts for the use of a pool's machines, in machine-seconds, about once a second."""
 
 from typing import NamedTuple
 
 from .pool_demands import Forecast
 from .pool_views import PoolView
 
-TELL_S = 1.0
-# A pool that wasn't heard of for longer may have had any size meanwhile.
+LOG_INTERVAL_S = 1.0
+# After a longer gap between two views the pool may have had any size in between; the rest of the
+# gap isn't counted.
 MAX_GAP_S = 1.0
 
 
@@ -21,25 +22,25 @@
     moving: float = 0.0
 
     def plus(self, other: "PoolUse") -> "PoolUse":
-        """The sum of two uses."""
+        """Return the sum of two uses."""
         return PoolUse(*(mine + theirs for mine, theirs in zip(self, other, strict=True)))
 
 
-def use_of(
+def split_use(
     view: PoolView, forecast: Forecast, *, coming: int, leaving: int, seconds: float
 ) -> PoolUse:
-    """Split what a pool had for some time.
+    """Split a pool's machine-seconds over a time by their use.
 
-    :param coming: machines on their way to it.
-    :param leaving: machines of it that are being emptied.
-    :param seconds: for how long.
+    :param coming: machines on their way to the pool.
+    :param leaving: machines of the pool that are being drained.
+    :param seconds: the length of the time.
     """
     at_work = sum(e.used_cpu / e.capacity_cpu for e in view.executors if e.capacity_cpu)
     idle = max(len(view.executors) - at_work - leaving, 0.0)
     use = PoolUse(at_work=at_work, emptying=leaving, moving=coming)
-    if not forecast.risen:
+    if not forecast.has_risen:
         use = use._replace(first_size=idle)
-    elif forecast.soon:
+    elif forecast.rise_due:
         use = use._replace(awaited=idle)
     else:
         use = use._replace(reserve=idle)
@@ -47,30 +48,32 @@
 
 
 class PoolTally:
-    """Adds up one pool's uses between two lines of the log."""
+    """Adds up one pool's use between two log lines."""
 
     def __init__(self) -> None:
         self._use = PoolUse()
         self._noted_at: float | None = None
-        self._told_at = float("-inf")
+        self._logged_at = float("-inf")
 
     def note(
         self, view: PoolView, forecast: Forecast, *, coming: int, leaving: int, now: float
     ) -> PoolUse | None:
-        """Take in the pool as it is now.
+        """Add the pool's use since the last call.
 
-        :param now: steady seconds.
-        :return: what to tell, about once a second.
+        :param coming: machines on their way to the pool.
+        :param leaving: machines of the pool that are being drained.
+        :param now: monotonic seconds.
+        :return: the use to log, about once a second; None in between.
         """
-        before = self._noted_at
+        previous_at = self._noted_at
         self._noted_at = now
-        if before is None:
-            self._told_at = now
+        if previous_at is None:
+            self._logged_at = now
             return None
-        seconds = min(now - before, MAX_GAP_S)
-        used = use_of(view, forecast, coming=coming, leaving=leaving, seconds=seconds)
+        seconds = min(now - previous_at, MAX_GAP_S)
+        used = split_use(view, forecast, coming=coming, leaving=leaving, seconds=seconds)
         self._use = self._use.plus(used)
-        if now - self._told_at < TELL_S:
+        if now - self._logged_at < LOG_INTERVAL_S:
             return None
-        told, self._use, self._told_at = self._use, PoolUse(), now
-        return told
+        total, self._use, self._logged_at = self._use, PoolUse(), now
+        return total
