--- a/mustardgap/day_bounds.py
+++ b/mustardgap/day_outcomes.py
@@ -1,4 +1,4 @@
-"""What bound on a day: when and why jobs were late or refused, and what machines were for."""
+"""Analyses a day's log: when and why jobs were late or refused, and how machines were used."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -7,41 +7,41 @@
 from .job_stories import Line
 from .pool_uses import PoolUse
 
-# Jobs are counted by windows of this many seconds, in which they were handed in.
+# Jobs are counted by windows of this length, according to when they were submitted.
 WINDOW_S = 2.0
-# So many of the worst windows are shown.
-WORST = 10
+# At most this many windows are returned, those with the most jobs not served in time.
+MAX_WINDOWS = 10
 IN_TIME, NOT_ENDED = "in time", "not ended"
-WAITED, RAN_AGAIN, TOOK_LONG = (
-    "waited for room",
-    "had runs that failed",
-    "took long or waited between",
+WAITED_FOR_CAPACITY, HAD_FAILED_RUNS, RAN_LONG = (
+    "waited for capacity",
+    "had failed runs",
+    "ran long or waited between steps",
 )
 
 
-class JobFate(NamedTuple):
-    """When a job was handed in, to which queue, and what became of it for its caller."""
+class JobOutcome(NamedTuple):
+    """When a job was submitted, to which queue, and how it ended for its caller."""
 
     at: float
     queue: str
-    fate: str
+    outcome: str
 
 
 class Window(NamedTuple):
-    """Jobs of one queue that were handed in within a window, counted by their fates."""
+    """Jobs of one queue that were submitted within a window, counted by their outcomes."""
 
     since: float
     queue: str
-    fates: Counter[str]
+    outcomes: Counter[str]
 
     @property
-    def lost(self) -> int:
-        """How many weren't in time."""
-        return self.fates.total() - self.fates[IN_TIME]
+    def missed(self) -> int:
+        """The number of jobs that weren't served in time."""
+        return self.outcomes.total() - self.outcomes[IN_TIME]
 
 
 class _Job:
-    """What the lines tell of one job.
+    """What the log lines say of one job.
 
     :param at: the time of its first line, in seconds since the epoch.
     """
@@ -60,34 +60,34 @@
 
 
 def worst_windows(lines: Sequence[Line]) -> list[Window]:
-    """The windows in which most callers weren't served in time, the worst first.
+    """Return the windows with the most jobs not served in time, the worst first.
 
-    :param lines: the lines of all daemons, by time.
+    :param lines: the log lines of all daemons, sorted by time.
     """
     windows: dict[tuple[float, str], Counter[str]] = {}
     start = lines[0].time if lines else 0.0
-    for job in fates(lines):
+    for job in job_outcomes(lines):
         since = (job.at - start) // WINDOW_S * WINDOW_S
-        windows.setdefault((since, job.queue), Counter())[job.fate] += 1
+        windows.setdefault((since, job.queue), Counter())[job.outcome] += 1
     found = [Window(since, queue, counted) for (since, queue), counted in windows.items()]
-    return sorted((w for w in found if w.lost), key=lambda w: (-w.lost, w.since))[:WORST]
+    return sorted((w for w in found if w.missed), key=lambda w: (-w.missed, w.since))[:MAX_WINDOWS]
 
 
-def fates(lines: Iterable[Line]) -> list[JobFate]:
-    """What became of each job that ends by itself and that nobody cancelled."""
+def job_outcomes(lines: Iterable[Line]) -> list[JobOutcome]:
+    """Return the outcome of each job, except cancelled jobs and those of lasting tasks."""
     jobs: dict[str, _Job] = {}
     for line in lines:
         job_id = line.fields.get("job")
         if job_id:
-            _take(jobs.setdefault(job_id, _Job(at=line.time)), line)
+            _apply_line(jobs.setdefault(job_id, _Job(at=line.time)), line)
     return [
-        JobFate(job.at, job.queue, _fate(job))
+        JobOutcome(job.at, job.queue, _outcome(job))
         for job in jobs.values()
         if job.queue and not job.lasting and job.phase != "CANCELLED"
     ]
 
 
-def _take(job: _Job, line: Line) -> None:
+def _apply_line(job: _Job, line: Line) -> None:
     fields = line.fields
     job.queue = fields.get("queue", job.queue)
     if line.event == "submit.answered" and fields.get("status", 200) >= 400:
@@ -105,7 +105,7 @@
         job.slack_s = fields.get("slack_s", 0.0)
 
 
-def _fate(job: _Job) -> str:
+def _outcome(job: _Job) -> str:
     if not job.accepted:
         return job.refusal or NOT_ENDED
     if not job.phase:
@@ -115,12 +115,12 @@
     if job.late_s <= 0:
         return IN_TIME
     if job.waited_s is not None and job.waited_s > job.slack_s:
-        return WAITED
-    return RAN_AGAIN if job.failed_runs else TOOK_LONG
+        return WAITED_FOR_CAPACITY
+    return HAD_FAILED_RUNS if job.failed_runs else RAN_LONG
 
 
 def uses_by_pool(lines: Iterable[Line]) -> dict[str, PoolUse]:
-    """The machine-seconds of each pool, by what they were for."""
+    """Return the machine-seconds of each pool by their use."""
     found: dict[str, PoolUse] = {}
     for line in lines:
         if line.event == "pool.use":
--- a/mustardgap/day_reports.py
+++ b/mustardgap/day_reports.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple
 
-from .day_bounds import IN_TIME, WINDOW_S, Window, uses_by_pool, worst_windows
+from .day_outcomes import IN_TIME, WINDOW_S, Window, uses_by_pool, worst_windows
 from .job_stories import Line
 from .pool_uses import PoolUse
 
@@ -111,7 +111,10 @@
         window=WINDOW_S,
         worst=_table(
             ("from second", "queue", "jobs", "not in time", "why"),
-            [(f"{w.since:.0f}", w.queue, w.fates.total(), w.lost, _whys(w)) for w in report.worst],
+            [
+                (f"{w.since:.0f}", w.queue, w.outcomes.total(), w.missed, _whys(w))
+                for w in report.worst
+            ],
         ),
         crashes=_table(
             ("task", "crashes", "its runs stood"),
@@ -280,7 +283,7 @@
 
 def _whys(window: Window) -> str:
     return ", ".join(
-        f"{count} {fate}" for fate, count in window.fates.most_common() if fate != IN_TIME
+        f"{count} {fate}" for fate, count in window.outcomes.most_common() if fate != IN_TIME
     )
 
 
