--- a/features/bounds.feature
+++ b/features/bounds.feature
@@ -22,15 +22,15 @@
     When 3 jobs of cuts start too late at 4 s, and 1 of quotes at 9 s, of 5 each
     Then the worst window is that of cuts from 4 s, and the next that of quotes from 8 s
 
-  Scenario Outline: The idle machines of a pool of <size>, <busy> of them busy, that <state> count as <purpose>
-    Then a pool of <size> machines, <busy> of them busy, that <state> has <idle> machines for <purpose>
+  Scenario Outline: The idle machines of a pool of <size>, <busy> of them busy, that has <state> count as <purpose>
+    Then a pool of <size> machines, <busy> of them busy, that has <state> has <idle> machines for <purpose>
 
     Examples:
-      | size | busy | state                        | idle | purpose    |
-      | 6    | 2    | has not risen yet            | 4    | first_size |
-      | 6    | 2    | has risen                    | 4    | reserve    |
-      | 6    | 2    | has risen and is due to rise | 4    | awaited    |
-      | 2    | 2    | has risen                    | 0    | reserve    |
+      | size | busy | state                    | idle | purpose    |
+      | 6    | 2    | not risen yet            | 4    | first_size |
+      | 6    | 2    | risen                    | 4    | reserve    |
+      | 6    | 2    | risen and is due to rise | 4    | awaited    |
+      | 2    | 2    | risen                    | 0    | reserve    |
 
   Scenario: A pool's machine-seconds are logged about once a second, each counted once
     When a pool of 3 machines is viewed every 0.2 s for 10 s
--- a/features/steps/bounds_steps.py
+++ b/features/steps/bounds_steps.py
@@ -84,9 +84,9 @@
 
 
 FORECASTS = {
-    "has not risen yet": Forecast(has_risen=False, rise_due=False),
-    "has risen": Forecast(has_risen=True, rise_due=False),
-    "has risen and is due to rise": Forecast(has_risen=True, rise_due=True),
+    "not risen yet": Forecast(has_risen=False, rise_due=False),
+    "risen": Forecast(has_risen=True, rise_due=False),
+    "risen and is due to rise": Forecast(has_risen=True, rise_due=True),
 }
 
 
@@ -100,7 +100,7 @@
 
 @then(
     "a pool of {size:d} machines, {busy:d} of them busy, "
-    "that {state} has {idle:d} machines for {purpose}"
+    "that has {state} has {idle:d} machines for {purpose}"
 )
 def check_use(context, size, busy, state, idle, purpose):
     use = split_use(view_of(size, busy), FORECASTS[state], coming=0, leaving=0, seconds=1.0)
@@ -112,7 +112,7 @@
 def view_pool(context, size, seconds):
     tally = PoolTally()
     uses = [
-        tally.note(view_of(size, 1), FORECASTS["has risen"], coming=0, leaving=0, now=n / 5)
+        tally.note(view_of(size, 1), FORECASTS["risen"], coming=0, leaving=0, now=n / 5)
         for n in range(seconds * 5)
     ]
     context.lines = [
