--- a/features/steps/moves_steps.py
+++ b/features/steps/moves_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the fleet's decisions about moves, against pools that only count their machines."""
+"""Steps that check decisions about moves, on simulated pools that only count machines."""
 
 from types import SimpleNamespace
 
@@ -14,13 +14,17 @@
 from mustardgap.workloads import Configuration, JobSpec, Machine, Room, Service, Step
 from tools.actor_platforms import HandClock
 
-CORES = 10_000
+MACHINE_CPU = 10_000
 ROUND_S = 0.2
 STANDBY = "spare"
 
 
 class Pools:
-    """Machines in pools, each moved at once when it is ordered, and the parts that decide."""
+    """Simulated pools, whose machines move as soon as they are ordered, and the planner of moves.
+
+    :param sizes: the pools' sizes in machines, by name.
+    :param policy: the mechanisms in use.
+    """
 
     def __init__(self, sizes, policy=WHOLE):
         self.clock = HandClock()
@@ -42,7 +46,7 @@
         self.lasting = dict.fromkeys(sizes, 0)
         self.arriving = dict.fromkeys(sizes, 0)
         # Machines whose new executors serve before the list of machines shows it.
-        self.back = set()
+        self.unlisted = set()
         for name, size in sizes.items():
             for number in range(size):
                 machine = f"{name}-{number}"
@@ -50,7 +54,9 @@
 
     def machine(self, name, pool):
         executor = "" if pool == STANDBY else f"x-{name}"
-        return Machine(name, pool, "up", "d1", (), Room(cpu=CORES, memory_mb=1, gpus=0), executor)
+        return Machine(
+            name, pool, "up", "d1", (), Room(cpu=MACHINE_CPU, memory_mb=1, gpus=0), executor
+        )
 
     def move(self, machine, pool):
         self.state.machines_by_id[machine.machine] = self.machine(machine.machine, pool)
@@ -59,26 +65,28 @@
         return sum(machine.pool == pool for machine in self.state.machines_by_id.values())
 
     def view(self, pool):
-        """What the pool's owner tells: its work, spread over as few machines as hold it."""
-        left = (self.demand[pool] + self.lasting[pool]) * CORES
+        """Return the view of the pool's owner, its work packed on as few machines as can be."""
+        unplaced = (self.demand[pool] + self.lasting[pool]) * MACHINE_CPU
         executors = []
         for machine in self.state.machines_by_id.values():
             away = machine.machine in self.state.away_by_machine
-            back = machine.machine in self.back
-            if machine.pool == pool and (back or not away):
-                used = min(left, CORES)
-                left -= used
-                name = f"{machine.executor}-again" if back else machine.executor
+            unlisted = machine.machine in self.unlisted
+            if machine.pool == pool and (unlisted or not away):
+                used = min(unplaced, MACHINE_CPU)
+                unplaced -= used
+                name = f"{machine.executor}-again" if unlisted else machine.executor
                 executors.append(
-                    ExecutorView(name, CORES, used, int(used > 0), 0, True, False, machine.machine)
+                    ExecutorView(
+                        name, MACHINE_CPU, used, int(used > 0), 0, True, False, machine.machine
+                    )
                 )
-        lasting = self.lasting[pool] * CORES
+        lasting = self.lasting[pool] * MACHINE_CPU
         running = sum(executor.used_cpu for executor in executors) - lasting
-        arriving = int(self.arriving[pool] * CORES * FILL_SHARE)
-        return PoolView(pool, lasting, running, left, executors, arriving_cpu=arriving)
+        arriving = int(self.arriving[pool] * MACHINE_CPU * FILL_SHARE)
+        return PoolView(pool, lasting, running, unplaced, executors, arriving_cpu=arriving)
 
-    def play(self, seconds):
-        """Let time pass, a round of the fleet's owner after another."""
+    def advance(self, seconds):
+        """Run the rounds of the fleet's owner for some seconds of the simulated clock."""
         for _ in range(max(1, round(seconds / ROUND_S))):
             self.clock.now += ROUND_S
             self.moves.note_sizes(self.state.machines_by_id.values())
@@ -98,11 +106,11 @@
 def make_pools(context, size, idle):
     sizes = {"quotes": size, "cuts": size, "stairs": size, STANDBY: idle}
     context.pools = Pools(sizes, getattr(context, "policy", WHOLE))
-    context.pools.play(1.0)
+    context.pools.advance(1.0)
 
 
-@given("a wave has a machine of cuts and one of stairs")
-def wave_has(context):
+@given("a wave has taken a machine of cuts and one of stairs")
+def take_for_wave(context):
     state = context.pools.state
     for name in ("cuts-0", "stairs-0"):
         machine = state.machines_by_id[name]
@@ -111,38 +119,38 @@
 
 
 @given("{count:d} machines of {pool} are back from maintenance, which the list doesn't show yet")
-def are_back(context, count, pool):
+def return_unlisted(context, count, pool):
     state = context.pools.state
     for number in range(count):
         name = f"{pool}-{number}"
         machine = state.machines_by_id[name]
         state.machines_by_id[name] = machine._replace(state="maintenance")
         state.away_by_machine[name] = Away(machine.executor, machine.pool, float("inf"), 1)
-        context.pools.back.add(name)
+        context.pools.unlisted.add(name)
 
 
 @when(
-    "the demand of quotes is {asked:d} machines for {seconds:g} s, "
+    "the demand of quotes is {demand:d} machines for {seconds:g} s, "
     "while cuts and stairs have work for {others:d}"
 )
-def demand_rises(context, asked, seconds, others):
+def set_demand(context, demand, seconds, others):
     pools = context.pools
-    pools.demand.update(quotes=asked, cuts=others, stairs=others)
-    pools.play(seconds)
+    pools.demand.update(quotes=demand, cuts=others, stairs=others)
+    pools.advance(seconds)
 
 
 @when(
     "work for {arriving:d} machines arrives at quotes, "
-    "of which that for {asked:d} is there, for {seconds:g} s"
+    "with demand for {demand:d} so far, for {seconds:g} s"
 )
-def work_arrives(context, arriving, asked, seconds):
+def set_arrivals(context, arriving, demand, seconds):
     context.pools.arriving["quotes"] = arriving
-    context.pools.demand["quotes"] = asked
-    context.pools.play(seconds)
+    context.pools.demand["quotes"] = demand
+    context.pools.advance(seconds)
 
 
-@when("{count:d} jobs of 2 steps, with 4 s of processor time each, came to a pool {ago:g} s ago")
-def jobs_came(context, count, ago):
+@when("{count:d} jobs of 2 steps, with 4 s of processor time each, arrived at a pool {ago:g} s ago")
+def submit_jobs(context, count, ago):
     step = Step(width=4, cpu=500, memory_mb=1, gpus=0, estimate_s=2.0)
     lasting = step._replace(lasting=True)
     stored = StoredJob("q", "quotes", 1000.0, JobSpec("", (step, step, lasting)))
@@ -152,60 +160,62 @@
 
 @when(
     "work that arrives at a pool of {size:d} machines "
-    "goes from {before:d} machines to {now:d} in 0.4 s"
+    "changes from {before:d} machines to {now:d} in 0.4 s"
 )
-def arrivals_grow(context, size, before, now):
+def change_arrivals(context, size, before, now):
     demand = PoolDemand(first_size=size)
-    executors = [ExecutorView(f"x{n}", CORES, 0, 0, 0, True, False) for n in range(1)]
+    executors = [ExecutorView(f"x{n}", MACHINE_CPU, 0, 0, 0, True, False) for n in range(1)]
     for at, machines in ((0.0, before), (0.2, (before + now) / 2), (0.4, now)):
-        arriving = int(machines * CORES * FILL_SHARE)
-        view = PoolView("quotes", 0, CORES, 0, executors, arriving_cpu=arriving)
+        arriving = int(machines * MACHINE_CPU * FILL_SHARE)
+        view = PoolView("quotes", 0, MACHINE_CPU, 0, executors, arriving_cpu=arriving)
         demand.note(view, at)
     forecast = Forecast(has_risen=True, rise_due=False)
     balance = demand.balance(view, forecast, coming=0, returning=0, leaving=0)
-    context.asked = len(executors) + balance.missing
+    context.required = len(executors) + balance.missing
 
 
-@then("the pool asks for {count:d} machines")
-def check_asked(context, count):
-    assert context.asked == count, context.asked
+@then("the pool requires {count:d} machines")
+def check_required(context, count):
+    assert context.required == count, context.required
 
 
 @then("the pool expects to keep {cores:d} cores busy")
-def expects(context, cores):
+def check_cores(context, cores):
     assert round(context.cores) == cores, context.cores
 
 
 @when(
-    "quotes, cuts and stairs rise to {asked:d} machines in turn, {gap:d} s apart, "
-    "and {seconds:g} s go by"
+    "quotes, cuts and stairs rise to {demand:d} machines one after another, {gap:d} s apart, "
+    "and {seconds:g} s pass"
 )
-def rise_in_turn(context, asked, gap, seconds):
+def rise_one_by_one(context, demand, gap, seconds):
     pools = context.pools
     for pool in ("quotes", "cuts", "stairs"):
-        pools.demand[pool] = asked
-        pools.play(gap / 2)
+        pools.demand[pool] = demand
+        pools.advance(gap / 2)
         pools.demand[pool] = 1
-        pools.play(gap / 2)
+        pools.advance(gap / 2)
     if seconds:
-        pools.play(seconds)
+        pools.advance(seconds)
 
 
-@when("lasting tasks for {count:d} machines come to one pool after another, {gap:d} s apart, twice")
-def lasting_tasks_come(context, count, gap):
+@when(
+    "lasting tasks for {count:d} machines arrive at one pool after another, {gap:d} s apart, twice"
+)
+def add_lasting_tasks(context, count, gap):
     pools = context.pools
     for arrived in (count, 0, count):
         for pool in ("quotes", "cuts", "stairs"):
             pools.lasting[pool] = arrived
-            pools.play(gap)
+            pools.advance(gap)
 
 
 @then("the pool {pool} has {count:d} machines")
-def has_machines(context, pool, count):
+def check_size(context, pool, count):
     assert context.pools.size(pool) == count, context.pools.size(pool)
 
 
 @then("the pools cuts and stairs have {cuts:d} and {stairs:d} machines")
-def have_machines(context, cuts, stairs):
+def check_sizes(context, cuts, stairs):
     sizes = [context.pools.size(pool) for pool in ("cuts", "stairs")]
     assert sizes == [cuts, stairs], sizes
