--- a/features/moves.feature
+++ b/features/moves.feature
@@ -20,7 +20,7 @@
       | others have little to do         | 23     | 6       | 1      | 21   | 6 and 7   |
       | others have work for most        | 23     | 6       | 7      | 16   | 9 and 9   |
       | others are full                  | 23     | 6       | 8      | 14   | 10 and 10 |
-      | short for too short a time       | 23     | 0.3     | 1      | 14   | 10 and 10 |
+      | short only briefly               | 23     | 0.3     | 1      | 14   | 10 and 10 |
 
   Scenario Outline: A pool at which work for <arriving> machines arrives gets <gets> in <seconds> s
     A pool's demand rises to several times its size for some seconds. Running and waiting jobs show this
--- a/mustardgap/demand_rises.py
+++ b/mustardgap/demand_rises.py
@@ -6,13 +6,15 @@
 
 # A rise begins when a pool's smoothed demand exceeds this share of its highest demand so far.
 BEGIN_SHARE = 0.45
-# A rise ends when the demand falls below this share; the gap between the two avoids flapping.
+# A rise ends when the pool's smoothed demand falls below this share of its highest so far.
 END_SHARE = 0.25
-# Either change has to last this long, as single jobs raise and lower the demand for less.
+# A rise begins or ends only once the demand has been past its threshold for this long, as single
+# jobs raise and lower it for less.
 MIN_CHANGE_S = 0.8
 # Demand below this many machines is no rise: there is no machine to bring or to release.
 MIN_RISE_MACHINES = 2.0
-# Demand below this share of the pool's first size is no rise, for the same reason.
+# Demand below this share of the pool's first size is no rise: there is no machine to bring or to
+# release.
 MIN_RISE_SHARE = 0.25
 # Rises of different pools that begin within this time count as one rise of the total demand.
 SIMULTANEOUS_S = 0.5
