--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -8,7 +8,7 @@
 from features.support.owner_jobs import START_S, hand_in, job_id_of
 from mustardgap.events import EventLog
 from mustardgap.fleet_orders import RECENT_KEY, FleetOrders
-from mustardgap.fleet_states import Closing, FleetState, Times
+from mustardgap.fleet_states import Closing, FleetState, OrderTimes
 from mustardgap.fleet_waves import FleetWaves
 from mustardgap.pool_views import ExecutorView, PoolRequest, PoolView
 from mustardgap.ports import Done, NoAnswer
@@ -21,10 +21,10 @@
 from tools.owner_worlds import play
 
 # Orders are taken up by a new owner of the fleet after 4 s; the wave and its repeat take 8 s more.
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 
-def owner_of_fleet(world):
+def fleet_owner(world):
     """The host of the fleet's owner."""
     for daemon in world.daemons_by_address.values():
         if FLEET_SHARD in daemon.owners.owned_by_shard:
@@ -37,9 +37,9 @@
     return [name for name, place in world.machines.places.items() if place.pool == SERVICE]
 
 
-async def until(condition):
+async def wait_until(condition):
     """Wait until a condition holds."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.001)
 
@@ -51,10 +51,10 @@
         places = world.machines.places
         first, second = machines_of_pool(world)[:2]
         number = publish_wave(world, [first, second])
-        await until(lambda: places[first].waves_done)
-        world.kill(owner_of_fleet(world))
-        await until(lambda: places[first].executor and owner_of_fleet(world))
-        await until(lambda: world.machines.repeats)
+        await wait_until(lambda: places[first].waves_done)
+        world.kill(fleet_owner(world))
+        await wait_until(lambda: places[first].executor and fleet_owner(world))
+        await wait_until(lambda: world.machines.repeats)
         world.kill(world.owner())
         wide = TWO_STEPS._replace(steps=(TWO_STEPS.steps[0]._replace(width=24, cpu=900),))
         await hand_in(world, context.states, 3, spec=wide)
@@ -63,7 +63,7 @@
         listed = {place.executor.entry.executor for place in places.values() if place.executor}
         context.unused = listed - world.dispatcher().roster.links_by_executor.keys()
 
-        await asyncio.sleep(PATIENCE_S)
+        await asyncio.sleep(TIMEOUT_S)
         context.left = [name for name in (first, second) if not places[name].waves_done]
 
     context.world = play(scene, daemons=4, **context.options)
@@ -76,12 +76,12 @@
         places = world.machines.places
         first, *others = machines_of_pool(world)
         publish_wave(world, [first], at_once=2)
-        await until(lambda: places[first].waves_done)
-        world.kill(owner_of_fleet(world))
+        await wait_until(lambda: places[first].waves_done)
+        world.kill(fleet_owner(world))
         publish_wave(world, others, at_once=2)
-        await until(lambda: owner_of_fleet(world))
+        await wait_until(lambda: fleet_owner(world))
         taken_at = world.loop.time()
-        await until(lambda: any(places[name].waves_done for name in others))
+        await wait_until(lambda: any(places[name].waves_done for name in others))
         context.waited_s = world.loop.time() - taken_at
         await asyncio.sleep(8)
 
@@ -89,11 +89,11 @@
 
 
 @when("the owner of a pool is told that an executor has ended which runs tasks")
-def told_wrongly(context):
+def false_end_reported(context):
     async def scene(world):
         await asyncio.sleep(START_S)
         work = asyncio.ensure_future(hand_in(world, context.states, 2))
-        await until(lambda: any(e.runs for e in world.fleet.by_address.values()))
+        await wait_until(lambda: any(e.runs for e in world.fleet.by_address.values()))
         [first, *_] = [e.entry.executor for e in world.fleet.by_address.values() if e.runs]
         await asyncio.sleep(0.1)
         world.dispatcher().pool_view(PoolRequest(SERVICE, [], [], [first]))
@@ -104,7 +104,7 @@
 
 
 @then("the machine was ordered down once more than it went")
-def ordered_twice(context):
+def ordered_once_more(context):
     assert context.ordered == 2, context.ordered
 
 
@@ -123,7 +123,7 @@
     assert context.waited_s <= seconds, context.waited_s
 
 
-class Record:
+class FakeShardLog:
     """The fleet's record, which owner after owner writes to."""
 
     epoch = 1
@@ -139,7 +139,7 @@
         return ticket
 
 
-class OneAnswer:
+class FixedOutcomeMachines:
     """Machines whose orders all have the same outcome."""
 
     def __init__(self, outcome):
@@ -160,8 +160,8 @@
         log=record,
         machines=machines,
         host="e1",
-        times=Times(1.5, 2.0, 3.0),
-        on_done=lambda name, closing: None,
+        times=OrderTimes(1.5, 2.0, 3.0),
+        on_ordered_away=lambda name, closing: None,
         on_maintained=lambda wave, name: None,
         clock=clock,
         events=events,
@@ -172,7 +172,7 @@
 
 
 # The age of its pool's last word of a machine, in seconds, and how many tasks that tells of.
-WORD_BY_MACHINE = {
+REPORT_BY_MACHINE = {
     "a machine that its pool says is empty": (0.1, 0),
     "a machine of which its pool said so long ago": (2.0, 0),
     "a machine that has a task by then": (0.1, 1),
@@ -182,13 +182,13 @@
 @when("the order of {machine} is recorded after {seconds:g} s")
 def recorded_after(context, machine, seconds):
     clock = HandClock()
-    machines = OneAnswer(Done())
+    machines = FixedOutcomeMachines(Done())
 
     async def main():
-        orders, state = take_over(clock, Record(seconds), machines)
+        orders, state = take_over(clock, FakeShardLog(seconds), machines)
         executor = "" if machine == "a standby machine" else "x1"
-        if machine in WORD_BY_MACHINE:
-            age_s, runs = WORD_BY_MACHINE[machine]
+        if machine in REPORT_BY_MACHINE:
+            age_s, runs = REPORT_BY_MACHINE[machine]
             row = ExecutorView(executor, 32_000, 0, runs, 0, True, False)
             state.views_by_service["spare"] = PoolView("spare", 0, 0, 0, [row])
             state.viewed_at_by_service["spare"] = clock.now - age_s
@@ -209,9 +209,9 @@
     "and the fleet changes hands {times:d} times, {seconds:g} s apart"
 )
 def fleet_changes_hands(context, ended, times, seconds):
-    clock, record = HandClock(), Record()
+    clock, record = HandClock(), FakeShardLog()
     outcome = {"been done": Done(), "no answer": NoAnswer(sent=True, detail="cut")}[ended]
-    machines = OneAnswer(outcome)
+    machines = FixedOutcomeMachines(outcome)
 
     async def main():
         orders, state = take_over(clock, record, machines)
@@ -224,14 +224,14 @@
             orders, state = take_over(clock, record, machines)
         for task in under_way:
             task.cancel()
-        context.rest_s = max(0.0, state.not_before_by_machine.get("m1", 0.0) - clock.now)
+        context.wait_s = max(0.0, state.not_before_by_machine.get("m1", 0.0) - clock.now)
 
     asyncio.run(main())
 
 
 @then("its last owner leaves that machine alone for {seconds:g} s")
-def left_alone(context, seconds):
-    assert abs(context.rest_s - seconds) < 1e-6, context.rest_s
+def orders_held_back(context, seconds):
+    assert abs(context.wait_s - seconds) < 1e-6, context.wait_s
 
 
 @when(
@@ -254,8 +254,8 @@
         log=SimpleNamespace(put=lambda key, value: None),
         boards=None,
         operator=SimpleNamespace(waves_by_number={1: wave}),
-        times=Times(1.5, 2.0, 3.0),
-        needed=lambda pool: True,
+        times=OrderTimes(1.5, 2.0, 3.0),
+        has_no_spare=lambda pool: True,
         demand=lambda pool: float(size),
         order_idle=lambda machine, number: None,
         clock=clock,
--- a/features/steps/moves_steps.py
+++ b/features/steps/moves_steps.py
@@ -6,7 +6,7 @@
 
 from mustardgap.events import EventLog
 from mustardgap.fleet_moves import FleetMoves
-from mustardgap.fleet_states import Away, FleetState, Times
+from mustardgap.fleet_states import Away, FleetState, OrderTimes
 from mustardgap.job_states import Job, StoredJob
 from mustardgap.policies import WHOLE
 from mustardgap.pool_demands import FILL_SHARE, Forecast, PoolDemand
@@ -30,7 +30,7 @@
         self.moves = FleetMoves(
             state=self.state,
             log=log,
-            times=Times(1.5, 2.0, 3.0),
+            times=OrderTimes(1.5, 2.0, 3.0),
             order_idle=self.move,
             clock=self.clock,
             events=events,
--- a/mustardgap/fleet_managers.py
+++ b/mustardgap/fleet_managers.py
@@ -7,8 +7,8 @@
 from .boards import OperatorBoard
 from .events import EventLog
 from .fleet_moves import LEARNED_KEY, FleetMoves
-from .fleet_orders import HAND_OVER_S, RECENT_KEY, REOPEN_PAUSE_S, WORD_S, FleetOrders
-from .fleet_states import UP, Closing, EndedLife, FleetState, Times, is_back
+from .fleet_orders import HAND_OVER_S, RECENT_KEY, REOPEN_PAUSE_S, VIEW_VALID_S, FleetOrders
+from .fleet_states import UP, Closing, EndedExecutor, FleetState, OrderTimes, has_returned
 from .fleet_waves import WAVE_KEY, FleetWaves
 from .policies import WHOLE, Mechanism, Policy
 from .pool_views import PoolRequest, PoolView
@@ -20,16 +20,16 @@
 
 # How often pools are asked and decisions taken. Demand turns within a second or two; a round is a
 # call a pool.
-ROUND_S = 0.2
+ROUND_INTERVAL_S = 0.2
 # How often machines are listed; orders that were carried out show in it.
-LIST_S = 0.5
+LIST_INTERVAL_S = 0.5
 # A closed machine that can't be emptied in this time is opened again, as another may be easier.
-CLOSING_S = 6.0
+CLOSING_TIMEOUT_S = 6.0
 # The list of machines is up to a second or so behind; an executor that is missing from it for this
 # long is no machine's present life.
-ABSENT_S = 2.5
+ABSENCE_TIMEOUT_S = 2.5
 # For how long owners of pools are told of an ended life; it covers two takeovers in a row.
-TELL_S = 20.0
+ENDED_NOTICE_S = 20.0
 
 
 AskPool = Callable[[PoolRequest], Awaitable[PoolView | None]]
@@ -65,7 +65,7 @@
         operator: OperatorBoard,
         ask: AskPool,
         settled: Callable[[], bool],
-        times: Times,
+        times: OrderTimes,
         clock: Clock,
         events: EventLog,
         policy: Policy = WHOLE,
@@ -83,22 +83,22 @@
         self._loaded = False
         self._listed_at = float("-inf")
         # When the list last had every machine; only such a list shows that one is gone.
-        self._listed_whole_at = float("-inf")
+        self._full_list_at = float("-inf")
         # Any machine may have just had an order that the former owner's record doesn't tell of.
-        self._leave_alone_until = float("-inf")
+        self._orders_blocked_until = float("-inf")
         self._absent_since: dict[str, float] = {}
         # Executors of machines that were ordered away, until the list of machines shows it.
-        self._ending: dict[str, EndedLife] = {}
+        self._unconfirmed_ends: dict[str, EndedExecutor] = {}
         # Executors whose lives have ended. Pools are told for some time, as their owners change.
-        self._gone: dict[str, EndedLife] = {}
+        self._ended_executors: dict[str, EndedExecutor] = {}
         self.orders = FleetOrders(
             state=self.state,
             log=self.log,
             machines=machines,
             host=host,
             times=times,
-            on_done=self._ordered_away,
-            on_maintained=self._maintained,
+            on_ordered_away=self._on_ordered_away,
+            on_maintained=self._on_maintained,
             clock=clock,
             events=events,
         )
@@ -117,38 +117,38 @@
             boards=boards,
             operator=operator,
             times=times,
-            needed=self._is_needed,
+            has_no_spare=self._has_no_spare,
             demand=self.moves.demand,
             order_idle=lambda machine, wave: self.orders.send_idle(machine, wave=wave),
             clock=clock,
             events=events,
         )
 
-    def _is_needed(self, service: str) -> bool:
+    def _has_no_spare(self, service: str) -> bool:
         return self._policy.has(Mechanism.WAVE_PATIENCE) and self.moves.needs_all(service)
 
     async def run(self) -> None:
         """Take the shard over, and order machines about until fenced off or cancelled."""
-        writing: list[asyncio.Task[None]] = []
+        writers: list[asyncio.Task[None]] = []
         try:
             if not await self.log.open():
                 return
             await self._load()
-            writing = [
+            writers = [
                 asyncio.create_task(part) for part in (self.log.run(), self.log.run_failover())
             ]
-            for task in writing:
-                task.add_done_callback(self._ended_writing)
-            while not self.orders.ended and not self.log.fenced:
+            for task in writers:
+                task.add_done_callback(self._on_writer_done)
+            while not self.orders.stopped and not self.log.fenced:
                 await self._round()
-                await self._clock.sleep(ROUND_S)
+                await self._clock.sleep(ROUND_INTERVAL_S)
         finally:
             self.ended.set()
             self.log.close()
-            for task in (*self.state.orders_by_machine.values(), *writing):
+            for task in (*self.state.orders_by_machine.values(), *writers):
                 task.cancel()
 
-    def _ended_writing(self, task: asyncio.Task[None]) -> None:
+    def _on_writer_done(self, task: asyncio.Task[None]) -> None:
         failure = cancellations.failure_of(task)
         if failure is not None:
             self._events.note("fleet.failed", vital=True, epoch=self.log.epoch, why=repr(failure))
@@ -177,7 +177,7 @@
                 # What was learned is learned again, and a wave's machines say what they have had.
                 self._events.note("record.invalid", vital=True, why=told(key, exc))
                 if key == RECENT_KEY:
-                    self._leave_alone_until = self._clock.monotonic() + self.orders.apart_s
+                    self._orders_blocked_until = self._clock.monotonic() + self.orders.holder_gap_s
 
     def _restore(self, key: str, value: bytes) -> None:
         if key == LEARNED_KEY:
@@ -191,24 +191,24 @@
         configuration = self._operator.configuration
         if configuration is None or not self._settled():
             return
-        if self._clock.monotonic() < self._leave_alone_until:
+        if self._clock.monotonic() < self._orders_blocked_until:
             return
-        if self._clock.monotonic() - self._listed_at >= LIST_S:
-            await self._list()
-        await self._look_at_pools(configuration)
-        self._note_returns()
-        self._note_ended_lives()
-        if self.orders.ended:
+        if self._clock.monotonic() - self._listed_at >= LIST_INTERVAL_S:
+            await self._list_machines()
+        await self._query_pools(configuration)
+        self._remove_returned()
+        self._find_ended_executors()
+        if self.orders.stopped:
             return
         self._drop_stale_closings()
-        self._carry_out_closed()
-        self.moves.plan(configuration, self._due())
+        self._order_empty_machines()
+        self.moves.plan(configuration, self._machines_due())
         self.waves.plan(configuration)
-        await self.waves.tell()
+        await self.waves.report_progress()
 
     # What is known.
 
-    async def _list(self) -> None:
+    async def _list_machines(self) -> None:
         outcome = await self._machines.machines()
         if isinstance(outcome, Refused | NoAnswer):
             self._events.note("machines.unlisted", why=outcome.detail)
@@ -223,18 +223,18 @@
                 "machine.invalid", vital=True, count=len(outcome.invalid), why=outcome.invalid[0]
             )
         else:
-            self._listed_whole_at = self._listed_at
+            self._full_list_at = self._listed_at
         self.state.machines_by_id = by_id
         self.moves.note_sizes(by_id.values())
 
-    async def _look_at_pools(self, configuration: Configuration) -> None:
+    async def _query_pools(self, configuration: Configuration) -> None:
         services = [s for s in configuration.services_by_name.values() if not s.standby]
-        await asyncio.gather(*(self._look_at(service) for service in services))
+        await asyncio.gather(*(self._query_pool(service) for service in services))
 
-    async def _look_at(self, service: Service) -> None:
+    async def _query_pool(self, service: Service) -> None:
         closing = [c.executor for c in self.state.closing_by_machine.values()]
-        gone = [e for e, end in self._gone.items() if end.pool == service.name]
-        request = PoolRequest(service.name, closing, self._planned(), gone)
+        gone = [e for e, end in self._ended_executors.items() if end.pool == service.name]
+        request = PoolRequest(service.name, closing, self._executors_due(), gone)
         view = await self._ask(request)
         if view is None:
             return
@@ -243,16 +243,16 @@
         self.state.viewed_at_by_service[service.name] = now
         self.moves.note(service.name, view, now)
 
-    def _due(self) -> set[str]:
+    def _machines_due(self) -> set[str]:
         """Machines that a wave will take away."""
         return {name for wave in self.waves.open_waves() for name in self.waves.remaining(wave)}
 
-    def _planned(self) -> list[str]:
+    def _executors_due(self) -> list[str]:
         """The executors of machines that a wave will take away."""
-        machines = [self.state.machines_by_id.get(name) for name in self._due()]
+        machines = [self.state.machines_by_id.get(name) for name in self._machines_due()]
         return [machine.executor for machine in machines if machine and machine.executor]
 
-    def _note_returns(self) -> None:
+    def _remove_returned(self) -> None:
         now = self._clock.monotonic()
         for name, away in list(self.state.away_by_machine.items()):
             machine = self.state.machines_by_id.get(name)
@@ -262,11 +262,15 @@
             # One that is up in the same life long after went nowhere: it had been ordered so
             # before, or a former owner died between the record of its order and the order. Counted
             # as away for good, it would keep one of its wave's places.
-            stayed = machine is not None and machine.state == UP and now > away.back_at + ABSENT_S
-            if machine is None or stayed or is_back(machine, away):
+            stayed = (
+                machine is not None
+                and machine.state == UP
+                and now > away.back_at + ABSENCE_TIMEOUT_S
+            )
+            if machine is None or stayed or has_returned(machine, away):
                 del self.state.away_by_machine[name]
 
-    def _note_ended_lives(self) -> None:
+    def _find_ended_executors(self) -> None:
         """Find executors that pools still wait for, and that are no machine's life any more.
 
         An owner that takes a pool over starts nothing that may run on an executor that it can't
@@ -288,11 +292,14 @@
             if executor in listed:
                 continue
             since = self._absent_since.setdefault(executor, now)
-            if now - since > ABSENT_S and self._listed_whole_at > since + ABSENT_S / 2:
-                self._end_life(executor, service)
-        for executor, end in list(self._gone.items()):
-            if now - end.at > TELL_S:
-                del self._gone[executor]
+            if (
+                now - since > ABSENCE_TIMEOUT_S
+                and self._full_list_at > since + ABSENCE_TIMEOUT_S / 2
+            ):
+                self._mark_ended(executor, service)
+        for executor, end in list(self._ended_executors.items()):
+            if now - end.at > ENDED_NOTICE_S:
+                del self._ended_executors[executor]
 
     def _confirm_ends(self, listed: set[str], now: float) -> None:
         """Take the executors of ordered machines for ended once they aren't listed any more.
@@ -301,22 +308,22 @@
         nothing. Taken for an end it would have all tasks of an executor that works on started
         again elsewhere, and the executor be left out for good.
         """
-        for executor, order in list(self._ending.items()):
-            if self._listed_whole_at <= order.at:
+        for executor, order in list(self._unconfirmed_ends.items()):
+            if self._full_list_at <= order.at:
                 continue
             if executor not in listed:
-                del self._ending[executor]
-                self._end_life(executor, order.pool)
-            elif now - order.at > ABSENT_S:
-                del self._ending[executor]
+                del self._unconfirmed_ends[executor]
+                self._mark_ended(executor, order.pool)
+            elif now - order.at > ABSENCE_TIMEOUT_S:
+                del self._unconfirmed_ends[executor]
                 self.state.away_by_machine.pop(order.machine, None)
                 self._events.note(
                     "machine.untouched", vital=True, machine=order.machine, executor=executor
                 )
 
-    def _end_life(self, executor: str, pool: str) -> None:
-        if executor not in self._gone:
-            self._gone[executor] = EndedLife(pool, self._clock.monotonic())
+    def _mark_ended(self, executor: str, pool: str) -> None:
+        if executor not in self._ended_executors:
+            self._ended_executors[executor] = EndedExecutor(pool, self._clock.monotonic())
 
     # Closing and ordering.
 
@@ -325,7 +332,7 @@
         for name, closing in list(self.state.closing_by_machine.items()):
             machine = self.state.machines_by_id.get(name)
             gone = machine is None or machine.executor != closing.executor
-            late = now - closing.since > CLOSING_S and closing.wave is None
+            late = now - closing.since > CLOSING_TIMEOUT_S and closing.wave is None
             if name in self.state.orders_by_machine or not (gone or late):
                 continue
             del self.state.closing_by_machine[name]
@@ -334,22 +341,22 @@
                 "machine.reopen", machine=name, why="gone" if gone else "not empty in time"
             )
 
-    def _carry_out_closed(self) -> None:
+    def _order_empty_machines(self) -> None:
         now = self._clock.monotonic()
         for name, closing in list(self.state.closing_by_machine.items()):
             if name in self.state.orders_by_machine:
                 continue
-            if not self.state.is_empty(closing, now - WORD_S):
+            if not self.state.is_empty(closing, now - VIEW_VALID_S):
                 continue
             if closing.wave is not None and not self.waves.may_go_down(closing.wave):
                 continue
             self.orders.send(name, closing)
 
-    def _maintained(self, wave: int, name: str) -> None:
-        self.waves.note_done(wave, name)
+    def _on_maintained(self, wave: int, name: str) -> None:
+        self.waves.mark_maintained(wave, name)
 
-    def _ordered_away(self, name: str, closing: Closing) -> None:
+    def _on_ordered_away(self, name: str, closing: Closing) -> None:
         if closing.executor:
-            self._ending[closing.executor] = EndedLife(
+            self._unconfirmed_ends[closing.executor] = EndedExecutor(
                 closing.source, self._clock.monotonic(), name
             )
--- a/mustardgap/fleet_moves.py
+++ b/mustardgap/fleet_moves.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from .events import EventLog
-from .fleet_orders import WORD_S
-from .fleet_states import FleetState, Times
+from .fleet_orders import VIEW_VALID_S
+from .fleet_states import FleetState, OrderTimes
 from .policies import WHOLE, Mechanism, Policy
 from .pool_demands import Balance, Forecast, PoolDemand
 from .pool_uses import PoolTally
@@ -61,7 +61,7 @@
         *,
         state: FleetState,
         log: ShardLog,
-        times: Times,
+        times: OrderTimes,
         order_idle: Callable[[Machine, str], None],
         clock: Clock,
         events: EventLog,
@@ -137,7 +137,7 @@
         surplus: list[Machine] = []
         lendable_by_service: dict[str, list[Machine]] = {}
         for service, view in self._state.views_by_service.items():
-            fresh = now - self._state.viewed_at_by_service[service] <= WORD_S
+            fresh = now - self._state.viewed_at_by_service[service] <= VIEW_VALID_S
             if not fresh or service not in self._demands_by_service:
                 continue
             balance = self._balance(service, view, now)
@@ -153,7 +153,7 @@
         idle = [
             machine
             for name, machine in sorted(self._state.machines_by_id.items())
-            if machine.pool in standby and self._state.free_to_close(name, now)
+            if machine.pool in standby and self._state.can_close(name, now)
         ]
         self._short_since = {s: self._short_since.get(s, now) for s in short}
         idle.sort(key=lambda machine: machine.machine in due)
@@ -177,7 +177,7 @@
     def _balance(self, service: str, view: PoolView, now: float) -> Balance:
         ordered = [
             away
-            for name, away in self._state.on_the_way(service).items()
+            for name, away in self._state.incoming_machines(service).items()
             if name not in self._state.closing_by_machine
         ]
         returning = sum(1 for away in ordered if away.wave is not None)
@@ -231,7 +231,7 @@
             for name, machine in self._state.machines_by_id.items()
             if machine.pool == service
             and machine.executor in executors
-            and self._state.free_to_close(name, now)
+            and self._state.can_close(name, now)
             and not executors[machine.executor].lasting_runs
         ]
         machines.sort(
--- a/mustardgap/fleet_orders.py
+++ b/mustardgap/fleet_orders.py
@@ -8,7 +8,7 @@
 
 from . import cancellations, metrics
 from .events import EventLog
-from .fleet_states import Away, Closing, FleetState, Times
+from .fleet_states import Away, Closing, FleetState, OrderTimes
 from .ports import Done, Fenced, Machines, NoAnswer, NotInWave, Order, Refused, Throttled
 from .shard_logs import ShardLog
 from .tickets import Ticket
@@ -19,14 +19,14 @@
 # The pause before an order that got no answer, or was one too many, is sent again.
 RETRY_S = 0.2
 # A pool's word that an executor is empty holds for so long.
-WORD_S = 0.5
+VIEW_VALID_S = 0.5
 # How long the record of an order may take. A store that is slow, and not away, answers by then; the
 # record itself proves that this daemon still owns the fleet. A machine with an executor needs its
 # pool's word anew then: in a rise while each append took 0.6 s, no machine moved at all.
-RECORD_S = 3.0
+RECORD_TIMEOUT_S = 3.0
 # A machine is back this long after its move or maintenance should have ended, or is looked for in
 # the list of machines.
-BACK_SLACK_S = 0.3
+RETURN_SLACK_S = 0.3
 REOPEN_PAUSE_S = 1.0
 # How long a leaving owner waits for its last record; without it the successor counts from an
 # earlier one, and leaves machines alone for longer.
@@ -36,7 +36,7 @@
 TAKEOVER_SLACK_S = 0.3
 
 
-class Recent(NamedTuple):
+class RecentOrder(NamedTuple):
     """An order that was sent lately, or is about to be.
 
     ``age_s`` tells how long ago it was sent at the least: daemons' clocks may differ, and the time
@@ -75,25 +75,25 @@
         log: ShardLog,
         machines: Machines,
         host: str,
-        times: Times,
-        on_done: Callable[[str, Closing], None],
+        times: OrderTimes,
+        on_ordered_away: Callable[[str, Closing], None],
         on_maintained: Callable[[int, str], None],
         clock: Clock,
         events: EventLog,
     ) -> None:
         # Whether a later owner orders machines about, or this one has to stop doing so.
-        self.ended = False
+        self.stopped = False
         self._state = state
         self._log = log
         self._machines = machines
         self._host = host
         self._times = times
-        self._on_done = on_done
+        self._on_ordered_away = on_ordered_away
         self._on_maintained = on_maintained
         self._clock = clock
         self._events = events
-        self._recent: dict[str, Recent] = {}
-        self._sent_at: dict[str, float] = {}
+        self._recent_by_machine: dict[str, RecentOrder] = {}
+        self._sent_at_by_machine: dict[str, float] = {}
 
     async def hand_over(self) -> None:
         """Send no more orders, and tell the successor how old the sent ones are.
@@ -102,31 +102,31 @@
         takeover, the time for which a machine is left alone was never over, and no machine moved
         for 8 s while a pool rose to ten times its size.
         """
-        self.ended = True
-        if self._recent:
-            ticket = self._put_recent()
+        self.stopped = True
+        if self._recent_by_machine:
+            ticket = self._store_recent()
             await asyncio.wait([ticket.outcome], timeout=HAND_OVER_S)
 
     def restore(self, raw: bytes) -> None:
         """Take in what a former owner may have ordered just before this one took over."""
         now = self._clock.monotonic()
-        for row in msgspec.msgpack.decode(raw, type=list[Recent]):
-            self._recent[row.machine] = row
-            sent_at = self._sent_at[row.machine] = now - row.age_s
-            self._state.not_before_by_machine[row.machine] = sent_at + self.apart_s
+        for row in msgspec.msgpack.decode(raw, type=list[RecentOrder]):
+            self._recent_by_machine[row.machine] = row
+            sent_at = self._sent_at_by_machine[row.machine] = now - row.age_s
+            self._state.not_before_by_machine[row.machine] = sent_at + self.holder_gap_s
             # Counted as away: it may be, for a wave that allows only so many.
-            self._state.away_by_machine[row.machine] = self._away(row, sent_at)
+            self._state.away_by_machine[row.machine] = self._make_away(row, sent_at)
 
     def send(self, name: str, closing: Closing) -> None:
         """Order a machine away on which nothing runs."""
-        row = Recent(name, closing.executor, closing.pool or closing.source, closing.wave)
+        row = RecentOrder(name, closing.executor, closing.pool or closing.source, closing.wave)
         # From here on, as it may be carried out although its answer is lost.
-        self._state.away_by_machine[name] = self._away(row, self._clock.monotonic())
+        self._state.away_by_machine[name] = self._make_away(row, self._clock.monotonic())
         task = asyncio.create_task(self._carry_out(row, closing))
         self._state.orders_by_machine[name] = task
-        task.add_done_callback(lambda _: self._ended_order(name, closing, task))
+        task.add_done_callback(lambda _: self._on_order_task_done(name, closing, task))
 
-    def _ended_order(self, name: str, closing: Closing, task: asyncio.Task[None]) -> None:
+    def _on_order_task_done(self, name: str, closing: Closing, task: asyncio.Task[None]) -> None:
         self._state.orders_by_machine.pop(name, None)
         failure = cancellations.failure_of(task)
         if failure is None:
@@ -155,56 +155,60 @@
         self.send(machine.machine, closing)
 
     @property
-    def apart_s(self) -> float:
+    def holder_gap_s(self) -> float:
         """How long a machine is left alone after an order of another owner, in seconds."""
         return self._times.lease_s + TAKEOVER_SLACK_S
 
-    def _away(self, row: Recent, now: float) -> Away:
-        takes_s = self._times.move_s if row.wave is None else self._times.maintenance_s
-        return Away(row.executor, row.pool, now + takes_s + BACK_SLACK_S, row.wave)
+    def _make_away(self, row: RecentOrder, now: float) -> Away:
+        duration_s = self._times.move_s if row.wave is None else self._times.maintenance_s
+        return Away(row.executor, row.pool, now + duration_s + RETURN_SLACK_S, row.wave)
 
-    async def _carry_out(self, row: Recent, closing: Closing) -> None:
+    async def _carry_out(self, row: RecentOrder, closing: Closing) -> None:
         """Order a machine away until the outcome is known; orders are idempotent."""
         name = row.machine
-        if why := await self._why_not_recorded(row, closing):
-            self._give_up(name, why)
+        if why := await self._record_order(row, closing):
+            self._reopen(name, why)
             return
-        while not self.ended:
+        while not self.stopped:
             now = self._clock.monotonic()
-            self._sent_at[name] = now
-            self._state.away_by_machine[name] = self._away(row, now)
+            self._sent_at_by_machine[name] = now
+            self._state.away_by_machine[name] = self._make_away(row, now)
             outcome = await self._send(name, closing)
-            self._note(name, closing, outcome)
+            self._log_outcome(name, closing, outcome)
             if not isinstance(outcome, NoAnswer | Throttled):
-                self._take_in(name, closing, outcome)
+                self._apply_outcome(name, closing, outcome)
                 return
             await self._clock.sleep(RETRY_S)
 
-    async def _why_not_recorded(self, row: Recent, closing: Closing) -> str:
+    async def _record_order(self, row: RecentOrder, closing: Closing) -> str:
         """Keep an order for a successor; why it mustn't be sent, empty if it may be."""
-        self._recent[row.machine] = row
-        self._sent_at[row.machine] = self._clock.monotonic()
-        ticket = self._put_recent()
-        await asyncio.wait([ticket.outcome], timeout=WORD_S)
+        self._recent_by_machine[row.machine] = row
+        self._sent_at_by_machine[row.machine] = self._clock.monotonic()
+        ticket = self._store_recent()
+        await asyncio.wait([ticket.outcome], timeout=VIEW_VALID_S)
         if ticket.durable:
             return ""
-        await asyncio.wait([ticket.outcome], timeout=RECORD_S - WORD_S)
+        await asyncio.wait([ticket.outcome], timeout=RECORD_TIMEOUT_S - VIEW_VALID_S)
         if not ticket.durable:
             return "the order couldn't be recorded"
-        word_since = self._clock.monotonic() - WORD_S
-        if row.executor and not self._state.is_empty(closing, word_since):
+        viewed_since = self._clock.monotonic() - VIEW_VALID_S
+        if row.executor and not self._state.is_empty(closing, viewed_since):
             return "not known to be empty any more"
         return ""
 
-    def _put_recent(self) -> Ticket:
+    def _store_recent(self) -> Ticket:
         now = self._clock.monotonic()
         rows = []
-        for name, row in list(self._recent.items()):
+        for name, row in list(self._recent_by_machine.items()):
             # One under way may be sent again after this record.
-            age_s = 0.0 if name in self._state.orders_by_machine else now - self._sent_at[name]
+            age_s = (
+                0.0
+                if name in self._state.orders_by_machine
+                else now - self._sent_at_by_machine[name]
+            )
             # Twice the bound: a successor may not find the machine back in the list before.
-            if age_s > 2 * self.apart_s:
-                del self._sent_at[name], self._recent[name]
+            if age_s > 2 * self.holder_gap_s:
+                del self._sent_at_by_machine[name], self._recent_by_machine[name]
                 continue
             rows.append(row._replace(age_s=age_s))
         return self._log.put(RECENT_KEY, msgspec.msgpack.encode(rows))
@@ -220,7 +224,7 @@
             machine=name, pool=closing.pool, holder=self._host, fence=fence
         )
 
-    def _note(self, name: str, closing: Closing, outcome: Order) -> None:
+    def _log_outcome(self, name: str, closing: Closing, outcome: Order) -> None:
         kind = "move" if closing.wave is None else "maintain"
         metrics.machine_orders.add(1, {"kind": kind, "outcome": type(outcome).__name__})
         self._events.note(
@@ -236,25 +240,25 @@
             why=getattr(outcome, "detail", None),
         )
 
-    def _take_in(
+    def _apply_outcome(
         self, name: str, closing: Closing, outcome: Done | Fenced | Refused | NotInWave
     ) -> None:
         if isinstance(outcome, Fenced):
             # Another owner orders machines about by now; to go on would contradict it.
             self._state.closing_by_machine.pop(name, None)
-            self.ended = True
+            self.stopped = True
             return
         if isinstance(outcome, Refused | NotInWave):
-            self._give_up(name, getattr(outcome, "detail", "not of the wave"))
+            self._reopen(name, getattr(outcome, "detail", "not of the wave"))
             if isinstance(outcome, NotInWave) and closing.wave is not None:
                 self._on_maintained(closing.wave, name)
             return
         self._state.closing_by_machine.pop(name, None)
-        self._on_done(name, closing)
+        self._on_ordered_away(name, closing)
         if closing.wave is not None:
             self._on_maintained(closing.wave, name)
 
-    def _give_up(self, name: str, why: str) -> None:
+    def _reopen(self, name: str, why: str) -> None:
         """Let a machine serve on that wasn't ordered away."""
         self._state.closing_by_machine.pop(name, None)
         self._state.away_by_machine.pop(name, None)
--- a/mustardgap/fleet_states.py
+++ b/mustardgap/fleet_states.py
@@ -31,7 +31,7 @@
     wave: int | None
 
 
-class EndedLife(NamedTuple):
+class EndedExecutor(NamedTuple):
     """The pool of an executor whose life has ended, since when that is known, and its machine."""
 
     pool: str
@@ -39,7 +39,7 @@
     machine: str = ""
 
 
-class Times(NamedTuple):
+class OrderTimes(NamedTuple):
     """What orders take on this deployment, in seconds."""
 
     move_s: float
@@ -79,7 +79,7 @@
             to=pool,
         )
 
-    def free_to_close(self, name: str, now: float) -> bool:
+    def can_close(self, name: str, now: float) -> bool:
         """Whether a machine is up, and nothing is planned with it."""
         machine = self.machines_by_id.get(name)
         return (
@@ -102,23 +102,23 @@
         view = executor_in(self.views_by_service[closing.source], closing.executor)
         return view is not None and view.settled and not (view.short_runs or view.lasting_runs)
 
-    def on_the_way(self, pool: str) -> dict[str, Away]:
+    def incoming_machines(self, pool: str) -> dict[str, Away]:
         """The machines that were ordered to a pool and don't work there yet, by their names.
 
         A machine's new executor serves up to a second before the list of machines shows it. Counted
         as there and as on its way, a pool let machines go that it had, and asked for none that it
         lacked.
         """
-        lives_by_machine: defaultdict[str, set[str]] = defaultdict(set)
+        executors_by_machine: defaultdict[str, set[str]] = defaultdict(set)
         for executor in self.views_by_service[pool].executors:
-            lives_by_machine[executor.machine].add(executor.executor)
+            executors_by_machine[executor.machine].add(executor.executor)
         return {
             name: away
             for name, away in self.away_by_machine.items()
-            if away.pool == pool and not lives_by_machine[name] - {away.executor}
+            if away.pool == pool and not executors_by_machine[name] - {away.executor}
         }
 
-    def hosts_lasting(self, machine: Machine) -> bool:
+    def has_lasting_runs(self, machine: Machine) -> bool:
         """Whether lasting tasks run on a machine."""
         view = self.views_by_service.get(machine.pool)
         executor = executor_in(view, machine.executor) if view else None
@@ -130,7 +130,7 @@
         return service is not None and service.standby
 
 
-def is_back(machine: Machine, away: Away) -> bool:
+def has_returned(machine: Machine, away: Away) -> bool:
     """Whether a machine that was ordered away is up in its new life."""
     # The list lags behind: one that shows the machine's earlier life is no proof. The machines of
     # a standby pool have no executor in any life.
--- a/mustardgap/fleet_waves.py
+++ b/mustardgap/fleet_waves.py
@@ -6,24 +6,24 @@
 
 from .boards import OperatorBoard
 from .events import EventLog
-from .fleet_states import FleetState, Times, executor_in
+from .fleet_states import FleetState, OrderTimes, executor_in
 from .ports import Boards, NoAnswer, Refused
 from .shard_logs import ShardLog
 from .timers import Clock
 from .workloads import Configuration, Machine, Wave
 
 # The share of a pool's machines that may be closed for maintenance at once while it has work.
-CLOSED_SHARE = 0.34
+MAX_CLOSED_SHARE = 0.34
 # Emptying a machine takes about a lasting task's way to work on another, for each that it has.
-EMPTYING_S = 3.0
+LASTING_TASK_MOVE_S = 3.0
 # A wave takes machines from pools that need them once the time left is less than this many times
 # what its rounds take.
-HURRY = 1.7
+URGENCY_FACTOR = 1.7
 # The same for machines with lasting tasks. These move one after another, so how long that takes is
 # known better; it is begun in time, one machine at once, also in a pool that has none to spare.
-LASTING_HURRY = 1.2
+LASTING_URGENCY_FACTOR = 1.2
 # A wave that is due, or overdue, counts as having this long.
-LEAST_LEFT_S = 1.0
+MIN_TIME_LEFT_S = 1.0
 WAVE_KEY = "w/"
 
 OrderIdle = Callable[[Machine, int], None]
@@ -51,8 +51,8 @@
         log: ShardLog,
         boards: Boards,
         operator: OperatorBoard,
-        times: Times,
-        needed: Callable[[str], bool],
+        times: OrderTimes,
+        has_no_spare: Callable[[str], bool],
         demand: Callable[[str], float],
         order_idle: OrderIdle,
         clock: Clock,
@@ -64,19 +64,19 @@
         self._boards = boards
         self._operator = operator
         self._times = times
-        self._needed = needed
+        self._has_no_spare = has_no_spare
         self._demand = demand
         self._order_idle = order_idle
         self._clock = clock
         self._events = events
         # When each wave was first seen, in seconds since the epoch.
-        self._known_at_by_wave: dict[int, float] = {}
-        self._told_by_wave: dict[int, bool] = {}
+        self._first_seen_at_by_wave: dict[int, float] = {}
+        self._reported_by_wave: dict[int, bool] = {}
 
     def restore(self, number: int, raw: bytes) -> None:
         """Take in what a former owner had done of a wave."""
-        known_at, done = msgspec.msgpack.decode(raw)
-        self._known_at_by_wave[number] = known_at
+        first_seen_at, done = msgspec.msgpack.decode(raw)
+        self._first_seen_at_by_wave[number] = first_seen_at
         self.done_by_wave[number] = set(done)
 
     def open_waves(self) -> Iterable[Wave]:
@@ -92,53 +92,55 @@
         done = self.done_by_wave.get(wave.number, set())
         return [name for name in wave.machines if name not in done]
 
-    def note_done(self, number: int, name: str) -> None:
+    def mark_maintained(self, number: int, name: str) -> None:
         """Note that a machine has had its maintenance."""
         self.done_by_wave.setdefault(number, set()).add(name)
         self._store_wave(number)
 
     def _store_wave(self, number: int) -> None:
         done = sorted(self.done_by_wave.get(number, ()))
-        known_at = self._known_at_by_wave.get(number, self._clock.wall())
-        self.log.put(f"{WAVE_KEY}{number}", msgspec.msgpack.encode((known_at, done)))
+        first_seen_at = self._first_seen_at_by_wave.get(number, self._clock.wall())
+        self.log.put(f"{WAVE_KEY}{number}", msgspec.msgpack.encode((first_seen_at, done)))
 
     def plan(self, configuration: Configuration) -> None:
         """Have the next machines emptied or ordered down."""
         now = self._clock.monotonic()
         for wave in self.open_waves():
-            if wave.number not in self._known_at_by_wave:
-                self._known_at_by_wave[wave.number] = self._clock.wall()
+            if wave.number not in self._first_seen_at_by_wave:
+                self._first_seen_at_by_wave[wave.number] = self._clock.wall()
                 self._store_wave(wave.number)
-            hurried = self._is_hurried(wave)
+            urgent = self._is_urgent(wave)
             candidates = [
                 self._state.machines_by_id[name]
                 for name in self.remaining(wave)
-                if self._state.free_to_close(name, now)
+                if self._state.can_close(name, now)
             ]
-            candidates.sort(key=lambda machine: self._wave_order(machine, configuration))
+            candidates.sort(key=lambda machine: self._sort_key(machine, configuration))
             for machine in candidates:
                 if self._state.is_standby(machine.pool, configuration):
                     if self.may_go_down(wave.number):
                         self._order_idle(machine, wave.number)
-                elif self._has_turn(machine, wave) and self._may_close(machine, wave, hurried):
+                elif self._within_wave_limit(machine, wave) and self._within_pool_limit(
+                    machine, wave, urgent
+                ):
                     self._state.close(machine, wave=wave.number)
 
-    def _has_turn(self, machine: Machine, wave: Wave) -> bool:
+    def _within_wave_limit(self, machine: Machine, wave: Wave) -> bool:
         # Lasting tasks move one after another, which takes longer than all the rest: their machines
         # are emptied ahead, and go down once they are empty and the wave has a place.
-        if self._state.hosts_lasting(machine):
+        if self._state.has_lasting_runs(machine):
             return True
-        return self._closing_for(wave.number) < wave.at_once - self._down_for(wave.number)
+        return self._closing_count(wave.number) < wave.at_once - self._down_count(wave.number)
 
     def may_go_down(self, number: int) -> bool:
         """Whether one more machine may be away for a wave."""
-        return self._down_for(number) < self._operator.waves_by_number[number].at_once
+        return self._down_count(number) < self._operator.waves_by_number[number].at_once
 
-    def _down_for(self, number: int) -> int:
+    def _down_count(self, number: int) -> int:
         """How many machines are away for a wave, or were ordered so and may be."""
         return sum(1 for away in self._state.away_by_machine.values() if away.wave == number)
 
-    def _closing_for(self, number: int) -> int:
+    def _closing_count(self, number: int) -> int:
         """How many machines without lasting tasks are being emptied for a wave."""
         return sum(
             1
@@ -146,19 +148,19 @@
             if closing.wave == number
             and name not in self._state.orders_by_machine
             and name in self._state.machines_by_id
-            and not self._state.hosts_lasting(self._state.machines_by_id[name])
+            and not self._state.has_lasting_runs(self._state.machines_by_id[name])
         )
 
-    def _is_hurried(self, wave: Wave) -> bool:
+    def _is_urgent(self, wave: Wave) -> bool:
         """Whether a wave would be late if it waited for pools that have no machine to spare."""
         rounds = -(-len(self.remaining(wave)) // max(wave.at_once, 1))
-        needed_s = rounds * (self._times.maintenance_s + EMPTYING_S)
-        return self._left_s(wave) < needed_s * HURRY
+        needed_s = rounds * (self._times.maintenance_s + LASTING_TASK_MOVE_S)
+        return self._time_left_s(wave) < needed_s * URGENCY_FACTOR
 
-    def _left_s(self, wave: Wave) -> float:
-        return self._known_at_by_wave[wave.number] + wave.finish_by_s - self._clock.wall()
+    def _time_left_s(self, wave: Wave) -> float:
+        return self._first_seen_at_by_wave[wave.number] + wave.finish_by_s - self._clock.wall()
 
-    def _lasting_rounds(self, wave: Wave, pool: str) -> float:
+    def _lasting_time_ratio(self, wave: Wave, pool: str) -> float:
         """How many times over the time left is needed to move a pool's lasting tasks one by one.
 
         From 1 on they have to move now, for their machines to be done in time: a pool that had
@@ -173,10 +175,10 @@
         runs = sum(e.lasting_runs for e in view.executors if e.executor in due)
         if not runs:
             return 0.0
-        needed_s = runs * EMPTYING_S + self._times.maintenance_s
-        return needed_s * LASTING_HURRY / max(self._left_s(wave), LEAST_LEFT_S)
+        needed_s = runs * LASTING_TASK_MOVE_S + self._times.maintenance_s
+        return needed_s * LASTING_URGENCY_FACTOR / max(self._time_left_s(wave), MIN_TIME_LEFT_S)
 
-    def _wave_order(self, machine: Machine, configuration: Configuration) -> tuple[int, int, int]:
+    def _sort_key(self, machine: Machine, configuration: Configuration) -> tuple[int, int, int]:
         if self._state.is_standby(machine.pool, configuration):
             return 0, 0, 0
         view = self._state.views_by_service.get(machine.pool)
@@ -185,40 +187,40 @@
             return 2, 0, 0
         return 1, executor.lasting_runs, view.waiting_cpu + executor.used_cpu
 
-    def _may_close(self, machine: Machine, wave: Wave, hurried: bool) -> bool:
+    def _within_pool_limit(self, machine: Machine, wave: Wave, urgent: bool) -> bool:
         view = self._state.views_by_service.get(machine.pool)
         if view is None or executor_in(view, machine.executor) is None:
             return False
-        hosts_lasting = self._state.hosts_lasting(machine)
-        can_wait = not hurried and self._needed(machine.pool)
-        rounds = self._lasting_rounds(wave, machine.pool) if hosts_lasting else 0.0
+        has_lasting_runs = self._state.has_lasting_runs(machine)
+        can_wait = not urgent and self._has_no_spare(machine.pool)
+        rounds = self._lasting_time_ratio(wave, machine.pool) if has_lasting_runs else 0.0
         if can_wait and rounds <= 1.0:
             return False
         closing = [c for c in self._state.closing_by_machine.values() if c.source == machine.pool]
         lasting = {e.executor for e in view.executors if e.lasting_runs}
-        hosts = sum(1 for c in closing if c.executor in lasting)
-        if hosts_lasting and hosts >= max(int(rounds), 1) and not hurried:
+        closing_with_lasting = sum(1 for c in closing if c.executor in lasting)
+        if has_lasting_runs and closing_with_lasting >= max(int(rounds), 1) and not urgent:
             # Lasting tasks move one at a time, and into what their pool has left.
             return False
-        closed = len(closing) + len(self._state.on_the_way(machine.pool))
+        closed = len(closing) + len(self._state.incoming_machines(machine.pool))
         size = len(view.executors)
-        idle = size - closed - 1 > self._demand(machine.pool)
-        return idle or closed < max(1, int(size * CLOSED_SHARE))
+        has_spare = size - closed - 1 > self._demand(machine.pool)
+        return has_spare or closed < max(1, int(size * MAX_CLOSED_SHARE))
 
-    async def tell(self) -> None:
+    async def report_progress(self) -> None:
         """Tell the operator of waves that began or are completed."""
         for wave in list(self._operator.waves_by_number.values()):
             completed = not self.remaining(wave) and not any(
                 away.wave == wave.number for away in self._state.away_by_machine.values()
             )
-            if self._told_by_wave.get(wave.number) is completed:
+            if self._reported_by_wave.get(wave.number) is completed:
                 continue
             if completed and not self.log.durable:
                 continue
             outcome = await self._boards.write_status(wave=wave.number, completed=completed)
             if isinstance(outcome, Refused | NoAnswer):
                 continue
-            self._told_by_wave[wave.number] = completed
+            self._reported_by_wave[wave.number] = completed
             self._events.note(
                 "wave.told",
                 vital=True,
--- a/mustardgap/platform/daemon.py
+++ b/mustardgap/platform/daemon.py
@@ -15,7 +15,7 @@
 from ..events import EventLog
 from ..exceptions import MustardgapError
 from ..fleet_managers import FleetManager
-from ..fleet_states import Times
+from ..fleet_states import OrderTimes
 from ..http_pools import HttpPool
 from ..job_gateways import JobGateway
 from ..peer_calls import PeerClient, PeerServer, PeerUnreachable
@@ -238,7 +238,7 @@
                 operator=self.operator,
                 ask=self.gateway.pool,
                 settled=self.owners.settled,
-                times=Times(promises.move_s, promises.maintenance_s, promises.duty_lease_s),
+                times=OrderTimes(promises.move_s, promises.maintenance_s, promises.duty_lease_s),
                 clock=self.clock,
                 events=self.events,
                 policy=self.policy,
--- a/tools/owner_daemons.py
+++ b/tools/owner_daemons.py
@@ -10,7 +10,7 @@
 from mustardgap.dispatchers import Bounds, Dispatcher
 from mustardgap.events import EventLog
 from mustardgap.fleet_managers import FleetManager
-from mustardgap.fleet_states import Times
+from mustardgap.fleet_states import OrderTimes
 from mustardgap.job_gateways import JobGateway
 from mustardgap.peer_calls import PeerUnreachable
 from mustardgap.ports import Granted, Invalid
@@ -174,7 +174,7 @@
                     operator=self.operator,
                     ask=self.gateway.pool,
                     settled=self.owners.settled,
-                    times=Times(1.5, 2.0, 3.0),
+                    times=OrderTimes(1.5, 2.0, 3.0),
                     clock=self.clock,
                     events=self.events,
                 )
