--- a/mustardgap/fleet_managers.py
+++ b/mustardgap/fleet_managers.py
@@ -1,4 +1,4 @@
-"""The fleet's owner: moves machines between pools as demand turns, and carries out maintenance."""
+"""The owner of the fleet: moves machines between pools as demand changes, and maintains them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,17 +18,18 @@
 from .timers import Clock
 from .workloads import Configuration, Service
 
-# How often pools are asked and decisions taken. Demand turns within a second or two; a round is a
-# call a pool.
+# Seconds between rounds of queries to pools and decisions. Demand changes within a second or two; a
+# round costs one call to each pool.
 ROUND_INTERVAL_S = 0.2
-# How often machines are listed; orders that were carried out show in it.
+# Seconds between lists of machines, which show the orders that were carried out.
 LIST_INTERVAL_S = 0.5
-# A closed machine that can't be emptied in this time is opened again, as another may be easier.
+# A machine that isn't emptied for a move in this time is reopened, as another may be easier to
+# empty.
 CLOSING_TIMEOUT_S = 6.0
-# The list of machines is up to a second or so behind; an executor that is missing from it for this
-# long is no machine's present life.
+# An executor that is missing from the list of machines for this long has ended. The list lags by
+# about a second at most.
 ABSENCE_TIMEOUT_S = 2.5
-# For how long owners of pools are told of an ended life; it covers two takeovers in a row.
+# How long owners of pools are told of an ended executor. This covers two takeovers in a row.
 ENDED_NOTICE_S = 20.0
 
 
@@ -36,21 +37,21 @@
 
 
 class FleetManager:
-    """Owns the fleet's shard: the only one that orders machines about.
+    """Owns the fleet's shard, and is the only one that sends orders to machines.
 
-    :param shard: the fleet's shard.
-    :param epoch: its ownership; the fencing token of orders.
-    :param host: this daemon's host, the holder that orders name.
+    :param shard: the number of the fleet's shard.
+    :param epoch: the epoch of this ownership, the fencing token of orders.
+    :param host: this daemon's host, named as the holder in orders.
     :param store: the durable log.
-    :param boards: where the operator reads how far a wave is.
-    :param machines: orders to machines.
+    :param boards: where the progress of waves is written for the operator.
+    :param machines: lists machines, and sends orders to them.
     :param operator: the configuration and the waves.
-    :param ask: asks the owner of a pool.
-    :param settled: whether nobody else can own the shard.
-    :param times: what orders take.
-    :param clock: the clocks to read.
-    :param events: the process's log.
-    :param policy: what takes part in its decisions.
+    :param ask: queries the owner of a pool.
+    :param settled: whether no other daemon can own the shard.
+    :param times: how long orders take.
+    :param clock: the source of monotonic and wall time.
+    :param events: the process's event log.
+    :param policy: the mechanisms that decisions use.
     """
 
     def __init__(
@@ -82,14 +83,16 @@
         self._policy = policy
         self._loaded = False
         self._listed_at = float("-inf")
-        # When the list last had every machine; only such a list shows that one is gone.
+        # Monotonic time of the last list without unreadable rows; only such a list shows that a
+        # machine is gone.
         self._full_list_at = float("-inf")
-        # Any machine may have just had an order that the former owner's record doesn't tell of.
+        # No orders are sent before this monotonic time. It is set when the former owner's record of
+        # its recent orders can't be read, as any machine may have been ordered just before.
         self._orders_blocked_until = float("-inf")
         self._absent_since: dict[str, float] = {}
-        # Executors of machines that were ordered away, until the list of machines shows it.
+        # Executors of machines that were ordered away, until the list of machines shows their end.
         self._unconfirmed_ends: dict[str, EndedExecutor] = {}
-        # Executors whose lives have ended. Pools are told for some time, as their owners change.
+        # Executors that have ended. Pools are told for some time, as their owners may change.
         self._ended_executors: dict[str, EndedExecutor] = {}
         self.orders = FleetOrders(
             state=self.state,
@@ -128,7 +131,7 @@
         return self._policy.has(Mechanism.WAVE_PATIENCE) and self.moves.needs_all(service)
 
     async def run(self) -> None:
-        """Take the shard over, and order machines about until fenced off or cancelled."""
+        """Take over the shard, and send orders to machines until fenced off or cancelled."""
         writers: list[asyncio.Task[None]] = []
         try:
             if not await self.log.open():
@@ -152,12 +155,12 @@
         failure = cancellations.failure_of(task)
         if failure is not None:
             self._events.note("fleet.failed", vital=True, epoch=self.log.epoch, why=repr(failure))
-            # No order is sent without its record, so none would be sent any more; a new ownership
-            # starts afresh.
+            # No order is sent without its record, so none would be sent any more. This ends the
+            # ownership; the next one begins with new tasks.
             self.log.close()
 
     async def hand_over(self) -> None:
-        """Send no more orders, and leave a record of those that were sent."""
+        """Stop sending orders, and record the recent ones for the successor."""
         if not self._loaded:
             return
         ticket = self.log.put_owner(closed=True)
@@ -174,7 +177,8 @@
             try:
                 self._restore(key, value)
             except UNREADABLE as exc:
-                # What was learned is learned again, and a wave's machines say what they have had.
+                # Pools' demand is learned again, and a repeated order for maintenance is answered
+                # as done.
                 self._events.note("record.invalid", vital=True, why=told(key, exc))
                 if key == RECENT_KEY:
                     self._orders_blocked_until = self._clock.monotonic() + self.orders.holder_gap_s
@@ -206,7 +210,7 @@
         self.waves.plan(configuration)
         await self.waves.report_progress()
 
-    # What is known.
+    # State of machines and pools.
 
     async def _list_machines(self) -> None:
         outcome = await self._machines.machines()
@@ -216,8 +220,8 @@
         self._listed_at = self._clock.monotonic()
         by_id = {machine.machine: machine for machine in outcome.machines}
         if outcome.invalid:
-            # A machine whose row can't be read is still there. Taken for gone, its executor would
-            # be given up, and what it runs started a second time.
+            # A machine whose row can't be read still exists. If it were taken for gone, its
+            # executor would be given up, and its tasks started a second time.
             by_id = {**self.state.machines_by_id, **by_id}
             self._events.note(
                 "machine.invalid", vital=True, count=len(outcome.invalid), why=outcome.invalid[0]
@@ -244,11 +248,11 @@
         self.moves.note(service.name, view, now)
 
     def _machines_due(self) -> set[str]:
-        """Machines that a wave will take away."""
+        """The machines that have yet to be maintained by a wave."""
         return {name for wave in self.waves.open_waves() for name in self.waves.remaining(wave)}
 
     def _executors_due(self) -> list[str]:
-        """The executors of machines that a wave will take away."""
+        """The executors of the machines that have yet to be maintained by a wave."""
         machines = [self.state.machines_by_id.get(name) for name in self._machines_due()]
         return [machine.executor for machine in machines if machine and machine.executor]
 
@@ -259,9 +263,10 @@
             listed_since = self._listed_at > away.back_at
             if now < away.back_at or not listed_since:
                 continue
-            # One that is up in the same life long after went nowhere: it had been ordered so
-            # before, or a former owner died between the record of its order and the order. Counted
-            # as away for good, it would keep one of its wave's places.
+            # A machine that is still up long after the order never went away: the order had been
+            # carried out before, or a former owner died after recording the order and before
+            # sending it. If it counted as away for good, its wave could maintain one machine less
+            # at a time.
             stayed = (
                 machine is not None
                 and machine.state == UP
@@ -271,10 +276,11 @@
                 del self.state.away_by_machine[name]
 
     def _find_ended_executors(self) -> None:
-        """Find executors that pools still wait for, and that are no machine's life any more.
+        """Find executors that pools still wait for, and that no machine runs any more.
 
-        An owner that takes a pool over starts nothing that may run on an executor that it can't
-        reach, until all leases have lapsed; the list of machines tells sooner that it is gone.
+        After a takeover, a pool's new owner doesn't start tasks that may run on an executor that it
+        can't reach until all leases have lapsed. The list of machines shows earlier that such an
+        executor has ended.
         """
         now = self._clock.monotonic()
         listed = {machine.executor for machine in self.state.machines_by_id.values()}
@@ -302,11 +308,14 @@
                 del self._ended_executors[executor]
 
     def _confirm_ends(self, listed: set[str], now: float) -> None:
-        """Take the executors of ordered machines for ended once they aren't listed any more.
+        """Mark executors of ordered machines as ended once they aren't listed any more.
 
-        An order that had been carried out for an earlier owner is answered as done, and ends
-        nothing. Taken for an end it would have all tasks of an executor that works on started
-        again elsewhere, and the executor be left out for good.
+        An order that was already carried out for an earlier owner is answered as done, and ends
+        nothing. If it counted as an end, the tasks of an executor that still works would be started
+        again elsewhere, and the executor would never be used again.
+
+        :param listed: the executors in the list of machines.
+        :param now: monotonic time.
         """
         for executor, order in list(self._unconfirmed_ends.items()):
             if self._full_list_at <= order.at:
@@ -325,7 +334,7 @@
         if executor not in self._ended_executors:
             self._ended_executors[executor] = EndedExecutor(pool, self._clock.monotonic())
 
-    # Closing and ordering.
+    # Emptying machines and sending orders.
 
     def _drop_stale_closings(self) -> None:
         now = self._clock.monotonic()
--- a/mustardgap/fleet_orders.py
+++ b/mustardgap/fleet_orders.py
@@ -16,31 +16,33 @@
 from .workloads import Machine
 
 RECENT_KEY = "recent"
-# The pause before an order that got no answer, or was one too many, is sent again.
+# Pause before an order that got no answer or was throttled is sent again.
 RETRY_S = 0.2
-# A pool's word that an executor is empty holds for so long.
+# How long a pool's view is valid, with its report that an executor is empty.
 VIEW_VALID_S = 0.5
-# How long the record of an order may take. A store that is slow, and not away, answers by then; the
-# record itself proves that this daemon still owns the fleet. A machine with an executor needs its
-# pool's word anew then: in a rise while each append took 0.6 s, no machine moved at all.
+# How long recording an order may take. A store that is slow but available answers within this time,
+# and the record proves that this daemon still owns the fleet. If it takes longer than a view is
+# valid, a machine with an executor needs a newer view of its pool. While orders had to be recorded
+# within VIEW_VALID_S, no machine moved during a rise in demand in which each append took 0.6 s.
 RECORD_TIMEOUT_S = 3.0
-# A machine is back this long after its move or maintenance should have ended, or is looked for in
-# the list of machines.
+# Added to the duration of a move or maintenance. After that the machine should be back, and is
+# looked up in the list of machines.
 RETURN_SLACK_S = 0.3
+# A machine that was reopened is not closed again for this long.
 REOPEN_PAUSE_S = 1.0
-# How long a leaving owner waits for its last record; without it the successor counts from an
-# earlier one, and leaves machines alone for longer.
+# How long a leaving owner waits for its last record. Without it, the successor computes the age of
+# orders from an earlier record, and holds back orders to their machines for longer.
 HAND_OVER_S = 0.3
-# A successor orders a machine that its predecessor may have ordered after the platform's bound
-# between two holders, and this.
+# Added to the platform's minimum time between orders of two holders to one machine, before a
+# successor orders a machine that its predecessor may have ordered.
 TAKEOVER_SLACK_S = 0.3
 
 
 class RecentOrder(NamedTuple):
-    """An order that was sent lately, or is about to be.
+    """An order that was sent recently, or is about to be sent.
 
-    ``age_s`` tells how long ago it was sent at the least: daemons' clocks may differ, and the time
-    between the record and its reader isn't counted.
+    ``age_s`` is the least time since it was sent, in seconds: daemons' clocks may differ, so the
+    time between writing and reading the record isn't counted.
     """
 
     machine: str
@@ -51,21 +53,22 @@
 
 
 class FleetOrders:
-    """Sends one owner's orders, and knows those of its predecessor.
+    """Sends the orders of one owner, and restores the recent ones of its predecessor.
 
-    Two holders must not order one machine within a few seconds. Each order is on record before it
-    is sent, so a successor leaves just those machines alone, and goes on with all others at once.
-    With a wait for all machines instead, each takeover cost 3.4 s of moves and maintenance.
+    Two holders must not order the same machine within a few seconds. Each order is recorded before
+    it is sent, so that a successor holds back orders to these machines only, and can order all
+    others at once. When successors waited before they ordered any machine, each takeover delayed
+    moves and maintenance by 3.4 s.
 
-    :param state: the fleet as it is known.
-    :param log: the fleet's shard, for the record.
+    :param state: the fleet as its owner knows it.
+    :param log: the log of the fleet's shard, where orders are recorded.
     :param machines: sends the orders.
-    :param host: this daemon's host, the holder that orders name.
-    :param times: what orders take.
-    :param on_done: told of a machine that was ordered away, with what for.
-    :param on_maintained: told of a wave's number and its machine that has been ordered down.
-    :param clock: the clocks to read.
-    :param events: the process's log.
+    :param host: this daemon's host, named as the holder in orders.
+    :param times: how long orders take.
+    :param on_ordered_away: called with a machine that was ordered away, and its closing.
+    :param on_maintained: called with a wave's number and a machine that the wave is done with.
+    :param clock: the source of monotonic and wall time.
+    :param events: the process's event log.
     """
 
     def __init__(
@@ -81,7 +84,7 @@
         clock: Clock,
         events: EventLog,
     ) -> None:
-        # Whether a later owner orders machines about, or this one has to stop doing so.
+        # Set when a later owner sends orders, or this one hands over.
         self.stopped = False
         self._state = state
         self._log = log
@@ -96,11 +99,11 @@
         self._sent_at_by_machine: dict[str, float] = {}
 
     async def hand_over(self) -> None:
-        """Send no more orders, and tell the successor how old the sent ones are.
+        """Stop sending orders, and record the age of the recent ones for the successor.
 
-        When all daemons are rolled, the fleet changes hands every second or two. Counted from each
-        takeover, the time for which a machine is left alone was never over, and no machine moved
-        for 8 s while a pool rose to ten times its size.
+        When all daemons are restarted in turn, the owner of the fleet changes every second or two.
+        When each successor held back orders for a fixed time from its takeover, that time never
+        ended: no machine moved for 8 s while a pool's demand rose to ten times its level.
         """
         self.stopped = True
         if self._recent_by_machine:
@@ -108,19 +111,19 @@
             await asyncio.wait([ticket.outcome], timeout=HAND_OVER_S)
 
     def restore(self, raw: bytes) -> None:
-        """Take in what a former owner may have ordered just before this one took over."""
+        """Restore the orders that a former owner may have sent just before the takeover."""
         now = self._clock.monotonic()
         for row in msgspec.msgpack.decode(raw, type=list[RecentOrder]):
             self._recent_by_machine[row.machine] = row
             sent_at = self._sent_at_by_machine[row.machine] = now - row.age_s
             self._state.not_before_by_machine[row.machine] = sent_at + self.holder_gap_s
-            # Counted as away: it may be, for a wave that allows only so many.
+            # The machine may be away, so it counts against the limit of its wave.
             self._state.away_by_machine[row.machine] = self._make_away(row, sent_at)
 
     def send(self, name: str, closing: Closing) -> None:
-        """Order a machine away on which nothing runs."""
+        """Record and send an order for a machine on which nothing runs."""
         row = RecentOrder(name, closing.executor, closing.pool or closing.source, closing.wave)
-        # From here on, as it may be carried out although its answer is lost.
+        # Away from now on, as the order may be carried out although its answer is lost.
         self._state.away_by_machine[name] = self._make_away(row, self._clock.monotonic())
         task = asyncio.create_task(self._carry_out(row, closing))
         self._state.orders_by_machine[name] = task
@@ -132,8 +135,8 @@
         if failure is None:
             return
         if not closing.executor:
-            # One that is being emptied is ordered again with the pool's next word; no pool has a
-            # word for this one, and closing for good it would be planned for nothing any more. The
+            # A machine with an executor is ordered again once its pool's next view shows it empty.
+            # No pool reports on this one; if it stayed closing, it would never be used again. The
             # order may have been carried out, so it counts as away until it should be back.
             self._state.closing_by_machine.pop(name, None)
             self._state.not_before_by_machine[name] = self._clock.monotonic() + REOPEN_PAUSE_S
@@ -149,14 +152,18 @@
     def send_idle(
         self, machine: Machine, *, wave: int | None = None, pool: str | None = None
     ) -> None:
-        """Order a machine of a standby pool, on which nothing can run."""
+        """Order a machine of a standby pool, on which nothing can run.
+
+        :param wave: the number of the wave that maintains it, if any.
+        :param pool: the pool that gets it, if any.
+        """
         closing = Closing(machine.executor, machine.pool, self._clock.monotonic(), wave, pool)
         self._state.closing_by_machine[machine.machine] = closing
         self.send(machine.machine, closing)
 
     @property
     def holder_gap_s(self) -> float:
-        """How long a machine is left alone after an order of another owner, in seconds."""
+        """Seconds after another owner's order before this one may order the machine."""
         return self._times.lease_s + TAKEOVER_SLACK_S
 
     def _make_away(self, row: RecentOrder, now: float) -> Away:
@@ -164,7 +171,7 @@
         return Away(row.executor, row.pool, now + duration_s + RETURN_SLACK_S, row.wave)
 
     async def _carry_out(self, row: RecentOrder, closing: Closing) -> None:
-        """Order a machine away until the outcome is known; orders are idempotent."""
+        """Record an order, and send it until its outcome is known; orders are idempotent."""
         name = row.machine
         if why := await self._record_order(row, closing):
             self._reopen(name, why)
@@ -181,7 +188,10 @@
             await self._clock.sleep(RETRY_S)
 
     async def _record_order(self, row: RecentOrder, closing: Closing) -> str:
-        """Keep an order for a successor; why it mustn't be sent, empty if it may be."""
+        """Record an order for a successor.
+
+        :return: why the order must not be sent, empty if it may be sent.
+        """
         self._recent_by_machine[row.machine] = row
         self._sent_at_by_machine[row.machine] = self._clock.monotonic()
         ticket = self._store_recent()
@@ -200,13 +210,14 @@
         now = self._clock.monotonic()
         rows = []
         for name, row in list(self._recent_by_machine.items()):
-            # One under way may be sent again after this record.
+            # An order under way may be sent again after this record.
             age_s = (
                 0.0
                 if name in self._state.orders_by_machine
                 else now - self._sent_at_by_machine[name]
             )
-            # Twice the bound: a successor may not find the machine back in the list before.
+            # Kept for twice the gap, as a successor may not find the machine back in the list
+            # earlier.
             if age_s > 2 * self.holder_gap_s:
                 del self._sent_at_by_machine[name], self._recent_by_machine[name]
                 continue
@@ -244,12 +255,12 @@
         self, name: str, closing: Closing, outcome: Done | Fenced | Refused | NotInWave
     ) -> None:
         if isinstance(outcome, Fenced):
-            # Another owner orders machines about by now; to go on would contradict it.
+            # Another owner sends orders by now, and further ones of this owner would contradict it.
             self._state.closing_by_machine.pop(name, None)
             self.stopped = True
             return
         if isinstance(outcome, Refused | NotInWave):
-            self._reopen(name, getattr(outcome, "detail", "not of the wave"))
+            self._reopen(name, getattr(outcome, "detail", "not a machine of the wave"))
             if isinstance(outcome, NotInWave) and closing.wave is not None:
                 self._on_maintained(closing.wave, name)
             return
@@ -259,7 +270,7 @@
             self._on_maintained(closing.wave, name)
 
     def _reopen(self, name: str, why: str) -> None:
-        """Let a machine serve on that wasn't ordered away."""
+        """Reopen a machine that wasn't ordered away."""
         self._state.closing_by_machine.pop(name, None)
         self._state.away_by_machine.pop(name, None)
         self._state.not_before_by_machine[name] = self._clock.monotonic() + REOPEN_PAUSE_S
--- a/mustardgap/fleet_states.py
+++ b/mustardgap/fleet_states.py
@@ -1,4 +1,4 @@
-"""What the fleet's owner knows: machines, pools, what is being emptied and what is away."""
+"""The fleet as its owner knows it: machines, pools, machines being emptied and machines away."""
 
 import asyncio
 from collections import defaultdict
@@ -13,7 +13,11 @@
 
 
 class Closing(NamedTuple):
-    """A machine that is being emptied, and for what; ``wave`` or ``pool`` is set."""
+    """A machine that is being emptied.
+
+    ``source`` is its pool, and ``since`` a monotonic time. Either ``wave`` is set, for maintenance,
+    or ``pool``, the pool that gets the machine.
+    """
 
     executor: str
     source: str
@@ -23,7 +27,11 @@
 
 
 class Away(NamedTuple):
-    """A machine that was ordered away: the executor that it had, and when it should be back."""
+    """A machine that was ordered away.
+
+    ``executor`` is the one that it had, ``pool`` its pool after the order, and ``back_at`` the
+    monotonic time by which it should be back.
+    """
 
     executor: str
     pool: str
@@ -32,7 +40,10 @@
 
 
 class EndedExecutor(NamedTuple):
-    """The pool of an executor whose life has ended, since when that is known, and its machine."""
+    """An executor that has ended, or should have by an order to its machine.
+
+    ``at`` is the monotonic time at which that became known, or of the order.
+    """
 
     pool: str
     at: float
@@ -40,7 +51,10 @@
 
 
 class OrderTimes(NamedTuple):
-    """What orders take on this deployment, in seconds."""
+    """How long orders take on this deployment, in seconds.
+
+    ``lease_s`` is the time within which two holders must not order the same machine.
+    """
 
     move_s: float
     maintenance_s: float
@@ -50,8 +64,8 @@
 class FleetState:
     """The fleet as its owner knows it.
 
-    :param clock: the clocks to read.
-    :param events: the process's log.
+    :param clock: the source of monotonic and wall time.
+    :param events: the process's event log.
     """
 
     def __init__(self, *, clock: Clock, events: EventLog) -> None:
@@ -66,7 +80,11 @@
         self._events = events
 
     def close(self, machine: Machine, *, wave: int | None = None, pool: str | None = None) -> None:
-        """Have a machine emptied, for a wave or for another pool."""
+        """Begin to empty a machine.
+
+        :param wave: the number of the wave that maintains it, if any.
+        :param pool: the pool that gets it, if any.
+        """
         self.closing_by_machine[machine.machine] = Closing(
             machine.executor, machine.pool, self._clock.monotonic(), wave, pool
         )
@@ -80,7 +98,10 @@
         )
 
     def can_close(self, name: str, now: float) -> bool:
-        """Whether a machine is up, and nothing is planned with it."""
+        """Whether a machine is up, and isn't being emptied, ordered or away.
+
+        :param now: monotonic time.
+        """
         machine = self.machines_by_id.get(name)
         return (
             machine is not None
@@ -94,7 +115,7 @@
     def is_empty(self, closing: Closing, since: float) -> bool:
         """Whether a machine that is being emptied is known to be empty.
 
-        :param since: steady time that its pool's word has to be younger than.
+        :param since: the earliest monotonic time at which its pool's view may have been taken.
         """
         viewed_at = self.viewed_at_by_service.get(closing.source, float("-inf"))
         if viewed_at <= closing.since or viewed_at < since:
@@ -103,11 +124,11 @@
         return view is not None and view.settled and not (view.short_runs or view.lasting_runs)
 
     def incoming_machines(self, pool: str) -> dict[str, Away]:
-        """The machines that were ordered to a pool and don't work there yet, by their names.
+        """The machines that were ordered to a pool and don't work there yet, by name.
 
-        A machine's new executor serves up to a second before the list of machines shows it. Counted
-        as there and as on its way, a pool let machines go that it had, and asked for none that it
-        lacked.
+        A machine's new executor serves up to a second before the list of machines shows it. If such
+        a machine counted both as present and as incoming, its pool would release machines that it
+        needs, and not ask for those that it lacks.
         """
         executors_by_machine: defaultdict[str, set[str]] = defaultdict(set)
         for executor in self.views_by_service[pool].executors:
@@ -131,9 +152,9 @@
 
 
 def has_returned(machine: Machine, away: Away) -> bool:
-    """Whether a machine that was ordered away is up in its new life."""
-    # The list lags behind: one that shows the machine's earlier life is no proof. The machines of
-    # a standby pool have no executor in any life.
+    """Whether a machine that was ordered away is up in its pool, with a new executor."""
+    # The list of machines lags: a row with the earlier executor is no proof that the machine is
+    # back. The machines of a standby pool never have an executor.
     another_life = machine.executor != away.executor or not away.executor
     return machine.state == UP and machine.pool == away.pool and another_life
 
--- a/mustardgap/fleet_waves.py
+++ b/mustardgap/fleet_waves.py
@@ -1,4 +1,4 @@
-"""Waves of maintenance: which machines go down next, and what the operator is told."""
+"""Maintenance waves: which machines go down next, and reports of progress to the operator."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,17 +12,20 @@
 from .timers import Clock
 from .workloads import Configuration, Machine, Wave
 
-# The share of a pool's machines that may be closed for maintenance at once while it has work.
+# The largest share of a pool's machines that may be closed at once for maintenance while the pool
+# needs them.
 MAX_CLOSED_SHARE = 0.34
-# Emptying a machine takes about a lasting task's way to work on another, for each that it has.
+# Time until a lasting task that is moved works on another machine. Emptying a machine takes about
+# this long for each lasting task on it.
 LASTING_TASK_MOVE_S = 3.0
-# A wave takes machines from pools that need them once the time left is less than this many times
-# what its rounds take.
+# A wave takes machines from pools without spare ones once the time left is less than the time that
+# its rounds take, multiplied by this factor.
 URGENCY_FACTOR = 1.7
-# The same for machines with lasting tasks. These move one after another, so how long that takes is
-# known better; it is begun in time, one machine at once, also in a pool that has none to spare.
+# Safety factor on the time needed to move lasting tasks. It is lower than URGENCY_FACTOR because
+# these tasks move one after another, so that the time is better known. Their machines are emptied
+# in time, one at once, also in a pool without spare machines.
 LASTING_URGENCY_FACTOR = 1.2
-# A wave that is due, or overdue, counts as having this long.
+# The least time left that is assumed for a wave, also if it is due or overdue.
 MIN_TIME_LEFT_S = 1.0
 WAVE_KEY = "w/"
 
@@ -30,18 +33,18 @@
 
 
 class FleetWaves:
-    """Carries waves out within what pools can spare.
+    """Carries out maintenance waves with the machines that pools can spare.
 
-    :param state: the fleet as it is known.
-    :param log: the fleet's shard.
-    :param boards: where the operator reads how far a wave is.
+    :param state: the fleet as its owner knows it.
+    :param log: the log of the fleet's shard.
+    :param boards: where the progress of waves is written for the operator.
     :param operator: the waves.
-    :param times: what orders take.
-    :param needed: whether a pool has no machine to spare now.
+    :param times: how long orders take.
+    :param has_no_spare: whether a pool has no machine to spare now.
     :param demand: a pool's demand in machines.
-    :param order_idle: orders a machine of a standby pool down for a wave.
-    :param clock: the clocks to read.
-    :param events: the process's log.
+    :param order_idle: sends a wave's maintenance order to a machine of a standby pool.
+    :param clock: the source of monotonic and wall time.
+    :param events: the process's event log.
     """
 
     def __init__(
@@ -69,18 +72,18 @@
         self._order_idle = order_idle
         self._clock = clock
         self._events = events
-        # When each wave was first seen, in seconds since the epoch.
+        # Wall-clock time at which each wave was first seen, in seconds since the epoch.
         self._first_seen_at_by_wave: dict[int, float] = {}
         self._reported_by_wave: dict[int, bool] = {}
 
     def restore(self, number: int, raw: bytes) -> None:
-        """Take in what a former owner had done of a wave."""
+        """Restore the progress of a wave under a former owner."""
         first_seen_at, done = msgspec.msgpack.decode(raw)
         self._first_seen_at_by_wave[number] = first_seen_at
         self.done_by_wave[number] = set(done)
 
     def open_waves(self) -> Iterable[Wave]:
-        """The waves with machines left."""
+        """The waves with machines that have yet to be maintained, by number."""
         return [
             wave
             for _, wave in sorted(self._operator.waves_by_number.items())
@@ -103,7 +106,7 @@
         self.log.put(f"{WAVE_KEY}{number}", msgspec.msgpack.encode((first_seen_at, done)))
 
     def plan(self, configuration: Configuration) -> None:
-        """Have the next machines emptied or ordered down."""
+        """Begin to empty the next machines, or order them down if nothing can run on them."""
         now = self._clock.monotonic()
         for wave in self.open_waves():
             if wave.number not in self._first_seen_at_by_wave:
@@ -126,18 +129,19 @@
                     self._state.close(machine, wave=wave.number)
 
     def _within_wave_limit(self, machine: Machine, wave: Wave) -> bool:
-        # Lasting tasks move one after another, which takes longer than all the rest: their machines
-        # are emptied ahead, and go down once they are empty and the wave has a place.
+        # Lasting tasks move one after another, which takes longer than everything else. Their
+        # machines are emptied ahead of time, and go down once they are empty and the wave's limit
+        # allows it.
         if self._state.has_lasting_runs(machine):
             return True
         return self._closing_count(wave.number) < wave.at_once - self._down_count(wave.number)
 
     def may_go_down(self, number: int) -> bool:
-        """Whether one more machine may be away for a wave."""
+        """Whether the limit of a wave allows one more machine to be away."""
         return self._down_count(number) < self._operator.waves_by_number[number].at_once
 
     def _down_count(self, number: int) -> int:
-        """How many machines are away for a wave, or were ordered so and may be."""
+        """How many machines are away for a wave, or may be as they were ordered so."""
         return sum(1 for away in self._state.away_by_machine.values() if away.wave == number)
 
     def _closing_count(self, number: int) -> int:
@@ -152,7 +156,7 @@
         )
 
     def _is_urgent(self, wave: Wave) -> bool:
-        """Whether a wave would be late if it waited for pools that have no machine to spare."""
+        """Whether a wave would be late if it waited for pools without spare machines."""
         rounds = -(-len(self.remaining(wave)) // max(wave.at_once, 1))
         needed_s = rounds * (self._times.maintenance_s + LASTING_TASK_MOVE_S)
         return self._time_left_s(wave) < needed_s * URGENCY_FACTOR
@@ -161,13 +165,14 @@
         return self._first_seen_at_by_wave[wave.number] + wave.finish_by_s - self._clock.wall()
 
     def _lasting_time_ratio(self, wave: Wave, pool: str) -> float:
-        """How many times over the time left is needed to move a pool's lasting tasks one by one.
-
-        From 1 on they have to move now, for their machines to be done in time: a pool that had
-        risen for 11 s was left alone until the wave's last rounds, its five machines with lasting
-        tasks then took 2.5 s each, and four of the wave's 98 were late. From 2 on one machine after
-        another isn't enough: eight of them took until after the wave's end, although most tasks are
-        of different steps, which may miss one each.
+        """The time needed to move a pool's lasting tasks one by one, divided by the time left.
+
+        From 1 on, the tasks have to move now for their machines to be maintained in time. A pool
+        with high demand for 11 s was skipped until the wave's last rounds; its five machines with
+        lasting tasks then took 2.5 s each, and 4 of the wave's 98 machines were late. From 2 on,
+        emptying one machine after another is too slow: eight of them took until after the wave's
+        end. Several can be emptied at once, as most tasks belong to different steps, each of which
+        may have one task missing.
         """
         view = self._state.views_by_service[pool]
         machines = [self._state.machines_by_id.get(name) for name in self.remaining(wave)]
@@ -193,14 +198,14 @@
             return False
         has_lasting_runs = self._state.has_lasting_runs(machine)
         can_wait = not urgent and self._has_no_spare(machine.pool)
-        rounds = self._lasting_time_ratio(wave, machine.pool) if has_lasting_runs else 0.0
-        if can_wait and rounds <= 1.0:
+        time_ratio = self._lasting_time_ratio(wave, machine.pool) if has_lasting_runs else 0.0
+        if can_wait and time_ratio <= 1.0:
             return False
         closing = [c for c in self._state.closing_by_machine.values() if c.source == machine.pool]
         lasting = {e.executor for e in view.executors if e.lasting_runs}
         closing_with_lasting = sum(1 for c in closing if c.executor in lasting)
-        if has_lasting_runs and closing_with_lasting >= max(int(rounds), 1) and not urgent:
-            # Lasting tasks move one at a time, and into what their pool has left.
+        if has_lasting_runs and closing_with_lasting >= max(int(time_ratio), 1) and not urgent:
+            # Lasting tasks move one at a time, into the free capacity of their pool.
             return False
         closed = len(closing) + len(self._state.incoming_machines(machine.pool))
         size = len(view.executors)
@@ -208,7 +213,7 @@
         return has_spare or closed < max(1, int(size * MAX_CLOSED_SHARE))
 
     async def report_progress(self) -> None:
-        """Tell the operator of waves that began or are completed."""
+        """Report waves that began or are completed to the operator."""
         for wave in list(self._operator.waves_by_number.values()):
             completed = not self.remaining(wave) and not any(
                 away.wave == wave.number for away in self._state.away_by_machine.values()
