--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the fleet's owner beside owners of pools, on virtual time."""
+"""Steps for the fleet's owner and the owners of pools, on virtual time."""
 
 import asyncio
 from types import SimpleNamespace
@@ -20,12 +20,12 @@
 from tools.owner_troubles import TWO_STEPS, publish_wave
 from tools.owner_worlds import play
 
-# Orders are taken up by a new owner of the fleet after 4 s; the wave and its repeat take 8 s more.
+# A new owner of the fleet sends orders after 4 s; the wave and its repetition take 8 s more.
 TIMEOUT_S = 30.0
 
 
 def fleet_owner(world):
-    """The host of the fleet's owner."""
+    """The host of the fleet's owner, empty if there is none."""
     for daemon in world.daemons_by_address.values():
         if FLEET_SHARD in daemon.owners.owned_by_shard:
             return daemon.name
@@ -88,7 +88,7 @@
     context.world = play(scene, daemons=4, **context.options)
 
 
-@when("the owner of a pool is told that an executor has ended which runs tasks")
+@when("a pool's owner is told that an executor that runs tasks has ended")
 def false_end_reported(context):
     async def scene(world):
         await asyncio.sleep(START_S)
@@ -103,7 +103,7 @@
     assert job_id_of(0) in context.states
 
 
-@then("the machine was ordered down once more than it went")
+@then("the machine was ordered down once more than it went down")
 def ordered_once_more(context):
     assert context.ordered == 2, context.ordered
 
@@ -124,7 +124,10 @@
 
 
 class FakeShardLog:
-    """The fleet's record, which owner after owner writes to."""
+    """A log of the fleet's shard that successive owners write to.
+
+    :param takes_s: how long it takes to store a value, in seconds.
+    """
 
     epoch = 1
 
@@ -152,7 +155,7 @@
 
 
 def take_over(clock, record, machines):
-    """A new owner's orders, and the fleet as it knows it."""
+    """The orders of a new owner, and the fleet as it knows it."""
     events = EventLog(host="e1", clock=clock)
     state = FleetState(clock=clock, events=events)
     orders = FleetOrders(
@@ -171,11 +174,11 @@
     return orders, state
 
 
-# The age of its pool's last word of a machine, in seconds, and how many tasks that tells of.
+# The age of the pool's last view of a machine, in seconds, and how many tasks it shows there.
 REPORT_BY_MACHINE = {
-    "a machine that its pool says is empty": (0.1, 0),
-    "a machine of which its pool said so long ago": (2.0, 0),
-    "a machine that has a task by then": (0.1, 1),
+    "a machine that its pool reports as empty": (0.1, 0),
+    "a machine that its pool reported as empty 2 s ago": (2.0, 0),
+    "a machine that runs a task by then": (0.1, 1),
 }
 
 
@@ -205,13 +208,15 @@
 
 
 @when(
-    "a machine's order has {ended}, "
-    "and the fleet changes hands {times:d} times, {seconds:g} s apart"
+    "a machine's order {outcome}, "
+    "and the fleet's owner changes {times:d} times, {seconds:g} s apart"
 )
-def fleet_changes_hands(context, ended, times, seconds):
+def fleet_owner_changes(context, outcome, times, seconds):
     clock, record = HandClock(), FakeShardLog()
-    outcome = {"been done": Done(), "no answer": NoAnswer(sent=True, detail="cut")}[ended]
-    machines = FixedOutcomeMachines(outcome)
+    answer = {"was carried out": Done(), "got no answer": NoAnswer(sent=True, detail="cut")}[
+        outcome
+    ]
+    machines = FixedOutcomeMachines(answer)
 
     async def main():
         orders, state = take_over(clock, record, machines)
@@ -229,14 +234,14 @@
     asyncio.run(main())
 
 
-@then("its last owner leaves that machine alone for {seconds:g} s")
+@then("the last owner holds back orders to that machine for {seconds:g} s")
 def orders_held_back(context, seconds):
     assert abs(context.wait_s - seconds) < 1e-6, context.wait_s
 
 
 @when(
-    "a wave is due in {left:g} s for {due:d} of {size:d} machines "
-    "that a risen pool has lasting tasks on"
+    "a wave is due in {left:g} s for {due:d} of the {size:d} machines "
+    "of a pool with lasting tasks and no spare machine"
 )
 def wave_is_due(context, left, due, size):
     clock = HandClock()
