--- a/mustardgap/fleet_orders.py
+++ b/mustardgap/fleet_orders.py
@@ -16,7 +16,7 @@
 from .workloads import Machine
 
 RECENT_KEY = "recent"
-# Pause before an order that got no answer or was throttled is sent again.
+# Pause before resending an order that got no answer or was throttled.
 RETRY_S = 0.2
 # How long a pool's view is valid, with its report that an executor is empty.
 VIEW_VALID_S = 0.5
--- a/mustardgap/fleet_waves.py
+++ b/mustardgap/fleet_waves.py
@@ -165,7 +165,7 @@
         return self._first_seen_at_by_wave[wave.number] + wave.finish_by_s - self._clock.wall()
 
     def _lasting_time_ratio(self, wave: Wave, pool: str) -> float:
-        """The time needed to move a pool's lasting tasks one by one, divided by the time left.
+        """The time to move a pool's lasting tasks one by one, with margin, over the time left.
 
         From 1 on, the tasks have to move now for their machines to be maintained in time. A pool
         with high demand for 11 s was skipped until the wave's last rounds; its five machines with
