--- a/mustardgap/planners.py
+++ b/mustardgap/planners.py
@@ -1,4 +1,4 @@
-"""The planner: which host serves in which pool, by local repair of what is."""
+"""The planner: assigns hosts to pools by local repair of the current assignment."""
 
 from collections.abc import Mapping
 from functools import partial
@@ -17,23 +17,24 @@
 from .settings import CapacitySettings
 from .waves import Waves
 
-# A plan holds at most about this many steps, so that a new fleet doesn't keep a daemon busy for a
-# second at a time; the next plans go on from there.
+# The approximate limit of steps in one plan. Planning a new fleet without it would block a daemon for
+# a second at a time. The plans that follow continue with the remaining steps.
 MOST_STEPS = 200
-# With this many free hosts for each missing one, no service need go short for another.
+# The ratio of free hosts to missing hosts from which the services don't compete for free hosts.
 PLENTY = 1.2
+# The failure domains that a budget can name, from the largest to none.
 CONSTRAINED = ("data_center", "rack", "host", "none")
 NOBODY: Mapping[str, float] = {}
 
 
 class Planner:
-    """Follows the folded state and plans from it.
+    """Keeps an index of the folded state and plans from it.
 
     The same state and time give the same plan, whether this planner has followed the log for days
-    or was started a moment ago. So it doesn't matter which daemon plans, nor how often.
+    or has just started. So any daemon can plan, and it doesn't matter how often.
 
     :param state: the folded state.
-    :param settings: the pace of waves.
+    :param settings: the capacity settings, which set the pace of waves; the defaults when None.
     """
 
     def __init__(self, *, state: Any, settings: CapacitySettings | None = None) -> None:
@@ -46,18 +47,18 @@
 
     @property
     def fleet(self) -> Fleet:
-        """The index that plans are made on."""
+        """The index of hosts and groups that plans are computed on."""
         return self._fleet
 
     def observe(self, kind: str, body: Mapping[str, Any]) -> None:
-        """Follow one accepted record; call it after the state has taken the record in."""
+        """Apply one accepted record to the index; call this after the state has applied the record."""
         if kind == "host":
             self.refresh(body["host"])
         elif kind == "config":
             self._declared = True
 
     def refresh(self, host_id: str) -> None:
-        """Take over one host from the state."""
+        """Update one host in the index from the state."""
         host = self._state.hosts_by_name.get(host_id)
         if host is not None:
             self._fleet.update_host(host)
@@ -74,8 +75,9 @@
         """Decide the next steps.
 
         :param now: seconds since the epoch.
-        :param weights: what buffer and moves cost; those of the policy when None.
-        :param leaving: hosts that leave on short notice, and when that was first seen.
+        :param weights: the costs of buffer and moves; those of the policy when None.
+        :param leaving: hosts that leave on short notice, with the time in seconds since the epoch
+            at which this was first seen.
         :rtype: Plan
         """
         fleet = self._fleet
@@ -113,10 +115,10 @@
 
 
 def empty_leaving(draft: Draft, leaving: Mapping[str, float]) -> None:
-    """Drain the hosts that leave on short notice, before all else.
+    """Drain the hosts that leave on short notice; this comes before all other steps.
 
-    Where the budget has no margin the host serves on until its replacement is in service, which
-    ``fill_short`` finds because the host isn't counted on any more.
+    A host that its group can't lose stays in service until a replacement is in service.
+    ``fill_short`` finds the replacement, because the draft no longer counts the leaving host.
     """
     for host_id in sorted(leaving):
         host = draft.fleet.hosts_by_id.get(host_id)
@@ -135,9 +137,10 @@
 
 
 def give_up_drains(draft: Draft) -> None:
-    """Take back the planned drains of hosts that don't become empty.
+    """Cancel the planned drains of hosts that didn't become empty in time.
 
-    Such a host would be waited for without end: it isn't free, and it isn't in service either.
+    Without this the services would wait for such a host forever, as it is neither free nor in
+    service.
     """
     for host_id in sorted(draft.fleet.emptying_ids - draft.touched):
         host = draft.fleet.hosts_by_id[host_id]
@@ -147,9 +150,10 @@
 
 
 def shrink_pools(draft: Draft) -> None:
-    """Empty hosts of pools that hold more than they may.
+    """Drain hosts of pools that hold more than their maximum.
 
-    Where the budget has no margin and its service has room, another pool's host comes first.
+    If the group can't lose a host but is below its own maximum, the host is no longer counted, so
+    that another pool of the service gets a host first.
     """
     fleet = draft.fleet
     for name in sorted(fleet.overfull_group_names):
@@ -166,10 +170,11 @@
 
 
 def fill_short(draft: Draft) -> None:
-    """Bring hosts to the services that lack them, when they are scarce the most urgent first.
+    """Find hosts for the services that lack them.
 
-    In turn: a host of their own whose drain can be taken back, the spare pool, a host that is being
-    emptied already, and the surplus of the least urgent service.
+    When hosts are scarce, the most urgent service comes first. The sources are, in this order: the
+    service's own hosts whose drain can be cancelled, the spare pool, hosts that are already being
+    emptied, and the surplus of the least urgent service.
     """
     groups = [draft.fleet.groups_by_name[name] for name in draft.fleet.short_group_names]
     if len(groups) > 1 and _is_plenty(draft, groups):
@@ -177,7 +182,7 @@
         _fill(draft, sorted(groups, key=_most_constrained_first))
         if not draft.problems:
             return
-        # Not all get enough after all, so the urgent ones must come first.
+        # Some groups are still short, so start again with the most urgent group first.
         draft.keep(start)
         draft.pending = pending
         draft.problems.clear()
@@ -206,11 +211,12 @@
 
 
 def release_surplus(draft: Draft, waves: Waves) -> None:
-    """Give hosts that aren't needed back to the spare pool, where all services share them.
+    """Drain surplus hosts so that they return to the spare pool, which all services share.
 
-    It costs a move, so it is done when the spare pool is short, when the service holds more than it
-    may, or when buffer costs the user more than moves. A service that a wave is at work on keeps
-    its stand-in until all its hosts are done; then the next service has it, if one is due.
+    Each return costs a move, so it happens only when the spare pool is short, when the service
+    holds more than its maximum, or when buffer costs more than moves. A service with a wave in
+    progress keeps its replacement host until the wave has done all its hosts. The host then goes to
+    the next service that is due, if there is one.
     """
     fleet = draft.fleet
     is_dear = draft.weights.buffer > draft.weights.move and not waves.held_names
@@ -234,14 +240,17 @@
 
 
 def settle_emptied(draft: Draft) -> None:
-    """Put hosts that were emptied, and that nobody needs now, into the spare pool."""
+    """Assign emptied hosts that no pool needs to the spare pool."""
     fleet = draft.fleet
     for host_id in sorted(fleet.emptied_ids - draft.touched):
         draft.assign(fleet.hosts_by_id[host_id], SPARE_POOL, "no pool needs it")
 
 
 def _most_constrained_first(group: Group) -> tuple[int, int, str]:
-    """The larger its domains, the fewer hosts suit a group; it chooses while there is a choice."""
+    """Sort groups that must survive the loss of larger failure domains first.
+
+    Fewer hosts suit such a group, so it chooses while the most hosts are free.
+    """
     need = group.requirement
     return CONSTRAINED.index(need.survive), -need.min_hosts, need.name
 
@@ -274,7 +283,10 @@
 
 
 def _assign_free(draft: Draft, group: Group) -> None:
-    """Assign free hosts until the budget holds; those at the end that gain nothing stay free."""
+    """Assign free hosts until the budget holds.
+
+    Hosts assigned last that don't reduce the shortage stay free.
+    """
     candidates = Candidates(fleet=draft.fleet, group=group)
     useful = len(draft.steps)
     best = _missing(group)
@@ -293,7 +305,10 @@
 
 
 def _move_surplus(draft: Draft, group: Group, missing: int) -> int:
-    """Empty hosts of other groups for this one; return how many."""
+    """Drain hosts of other groups for this one.
+
+    :return: the number of hosts.
+    """
     moved = 0
     while moved < missing and not group.is_full:
         host = find_donation(draft, group, partial(gains, group))
