--- a/mustardgap/planners.py
+++ b/mustardgap/planners.py
@@ -17,8 +17,8 @@
 from .settings import CapacitySettings
 from .waves import Waves
 
-# The approximate limit of steps in one plan. Planning a new fleet without it would block a daemon for
-# a second at a time. The plans that follow continue with the remaining steps.
+# The approximate limit of steps in one plan. Without it, planning a new fleet would keep a daemon
+# busy for a second at a time. The plans that follow continue with the remaining steps.
 MOST_STEPS = 200
 # The ratio of free hosts to missing hosts from which the services don't compete for free hosts.
 PLENTY = 1.2
@@ -51,7 +51,7 @@
         return self._fleet
 
     def observe(self, kind: str, body: Mapping[str, Any]) -> None:
-        """Apply one accepted record to the index; call this after the state has applied the record."""
+        """Apply one accepted record to the index, after the state has applied it."""
         if kind == "host":
             self.refresh(body["host"])
         elif kind == "config":
--- a/mustardgap/plans.py
+++ b/mustardgap/plans.py
@@ -7,8 +7,8 @@
 from .placements import PLAN_REASON_PREFIX, SPARE_POOL, Fleet, Group
 from .requirements import DEFAULT_DRAIN_S
 
-# The time a host gets to start after it came into service. Until then no other host of its group is
-# drained on the strength of it.
+# The time that a host gets to start after it comes into service, before a drain in its group may
+# rely on it.
 SETTLE_S = 10.0
 # The share of the maintenance period for which a host that didn't drain isn't drained again.
 RETRY_SHARE = 1 / 14
