--- a/mustardgap/candidates.py
+++ b/mustardgap/candidates.py
@@ -140,7 +140,7 @@
         hosts = (draft.fleet.hosts_by_id[h] for h in donor.host_ids())
         if any(donor.can_lose(host) and wanted(host) for host in hosts):
             return True
-        draft.keep(count)
+        draft.undo_after(count)
     return False
 
 
--- a/mustardgap/planners.py
+++ b/mustardgap/planners.py
@@ -19,12 +19,12 @@
 
 # The approximate limit of steps in one plan. Without it, planning a new fleet would keep a daemon
 # busy for a second at a time. The plans that follow continue with the remaining steps.
-MOST_STEPS = 200
+MAX_STEPS = 200
 # The ratio of free hosts to missing hosts from which the services don't compete for free hosts.
-PLENTY = 1.2
+AMPLE_FREE_RATIO = 1.2
 # The failure domains that a budget can name, from the largest to none.
-CONSTRAINED = ("data_center", "rack", "host", "none")
-NOBODY: Mapping[str, float] = {}
+DOMAINS_LARGEST_FIRST = ("data_center", "rack", "host", "none")
+NO_LEAVING_HOSTS: Mapping[str, float] = {}
 
 
 class Planner:
@@ -43,7 +43,7 @@
         self._fleet = Fleet(
             declarations_by_key=state.declarations_by_key, hosts=state.hosts_by_name.values()
         )
-        self._declared = False
+        self._declarations_changed = False
 
     @property
     def fleet(self) -> Fleet:
@@ -55,7 +55,7 @@
         if kind == "host":
             self.refresh(body["host"])
         elif kind == "config":
-            self._declared = True
+            self._declarations_changed = True
 
     def refresh(self, host_id: str) -> None:
         """Update one host in the index from the state."""
@@ -70,7 +70,7 @@
         *,
         now: float,
         weights: Weights | None = None,
-        leaving: Mapping[str, float] = NOBODY,
+        leaving: Mapping[str, float] = NO_LEAVING_HOSTS,
     ) -> Plan:
         """Decide the next steps.
 
@@ -81,19 +81,19 @@
         :rtype: Plan
         """
         fleet = self._fleet
-        if self._declared:
+        if self._declarations_changed:
             fleet.update_declarations(self._state.declarations_by_key)
-            self._declared = False
+            self._declarations_changed = False
         draft = Draft(fleet=fleet, now=now, weights=weights)
         waves = Waves(draft=draft, waves=self._state.waves_by_name.values(), settings=self.settings)
         try:
-            empty_leaving(draft, leaving)
-            give_up_drains(draft)
+            drain_leaving(draft, leaving)
+            cancel_overdue_drains(draft)
             shrink_pools(draft)
-            fill_short(draft)
+            fill_short_groups(draft)
             waves.proceed()
             release_surplus(draft, waves)
-            settle_emptied(draft)
+            assign_emptied_to_spare(draft)
         finally:
             draft.undo()
         return Plan(draft.steps, draft.problems, waves.waiting, waves.finished)
@@ -105,7 +105,7 @@
     now: float,
     weights: Weights | None = None,
     settings: CapacitySettings | None = None,
-    leaving: Mapping[str, float] = NOBODY,
+    leaving: Mapping[str, float] = NO_LEAVING_HOSTS,
 ) -> Plan:
     """Decide the next steps from the folded state alone.
 
@@ -114,11 +114,11 @@
     return Planner(state=state, settings=settings).plan(now=now, weights=weights, leaving=leaving)
 
 
-def empty_leaving(draft: Draft, leaving: Mapping[str, float]) -> None:
+def drain_leaving(draft: Draft, leaving: Mapping[str, float]) -> None:
     """Drain the hosts that leave on short notice; this comes before all other steps.
 
-    A host that its group can't lose stays in service until a replacement is in service.
-    ``fill_short`` finds the replacement, because the draft no longer counts the leaving host.
+    A host that its group can't lose stays in service until a replacement is in service. The draft
+    no longer counts it, so ``fill_short_groups`` finds the replacement.
     """
     for host_id in sorted(leaving):
         host = draft.fleet.hosts_by_id.get(host_id)
@@ -136,7 +136,7 @@
             draft.withhold(host)
 
 
-def give_up_drains(draft: Draft) -> None:
+def cancel_overdue_drains(draft: Draft) -> None:
     """Cancel the planned drains of hosts that didn't become empty in time.
 
     Without this the services would wait for such a host forever, as it is neither free nor in
@@ -145,8 +145,8 @@
     for host_id in sorted(draft.fleet.emptying_ids - draft.touched):
         host = draft.fleet.hosts_by_id[host_id]
         if draft.is_overdue(host):
-            draft.pending -= 1
-            draft.give_up_drain(host)
+            draft.emptying_count -= 1
+            draft.cancel_overdue_drain(host)
 
 
 def shrink_pools(draft: Draft) -> None:
@@ -169,7 +169,7 @@
                 draft.withhold(host)
 
 
-def fill_short(draft: Draft) -> None:
+def fill_short_groups(draft: Draft) -> None:
     """Find hosts for the services that lack them.
 
     When hosts are scarce, the most urgent service comes first. The sources are, in this order: the
@@ -177,37 +177,37 @@
     emptied, and the surplus of the least urgent service.
     """
     groups = [draft.fleet.groups_by_name[name] for name in draft.fleet.short_group_names]
-    if len(groups) > 1 and _is_plenty(draft, groups):
-        start, pending = len(draft.steps), draft.pending
-        _fill(draft, sorted(groups, key=_most_constrained_first))
+    if len(groups) > 1 and _has_ample_free_hosts(draft, groups):
+        step_count, emptying_count = len(draft.steps), draft.emptying_count
+        _fill_groups(draft, sorted(groups, key=_most_constrained_first))
         if not draft.problems:
             return
         # Some groups are still short, so start again with the most urgent group first.
-        draft.keep(start)
-        draft.pending = pending
+        draft.undo_after(step_count)
+        draft.emptying_count = emptying_count
         draft.problems.clear()
-    _fill(draft, sorted(groups, key=_most_urgent_first))
+    _fill_groups(draft, sorted(groups, key=_most_urgent_first))
 
 
-def _fill(draft: Draft, groups: list[Group]) -> None:
+def _fill_groups(draft: Draft, groups: list[Group]) -> None:
     for group in groups:
-        if len(draft.steps) >= MOST_STEPS:
+        if len(draft.steps) >= MAX_STEPS:
             return
         _undrain_own(draft, group)
         _assign_free(draft, group)
-        if len(draft.steps) >= MOST_STEPS:
+        if len(draft.steps) >= MAX_STEPS:
             return
-        missing = _missing(group)
-        reserved = min(draft.pending, missing)
-        draft.pending -= reserved
+        missing = _count_missing(group)
+        reserved = min(draft.emptying_count, missing)
+        draft.emptying_count -= reserved
         missing -= reserved + _move_surplus(draft, group, missing - reserved)
         if missing > 0 and not exchange(draft, group, partial(gains, group)):
             draft.problems.append(_shortage(group, missing))
 
 
-def _is_plenty(draft: Draft, groups: list[Group]) -> bool:
-    wanted = sum(_missing(group) for group in groups)
-    return draft.fleet.free_count >= wanted * PLENTY
+def _has_ample_free_hosts(draft: Draft, groups: list[Group]) -> bool:
+    missing = sum(_count_missing(group) for group in groups)
+    return draft.fleet.free_count >= missing * AMPLE_FREE_RATIO
 
 
 def release_surplus(draft: Draft, waves: Waves) -> None:
@@ -219,27 +219,29 @@
     the next service that is due, if there is one.
     """
     fleet = draft.fleet
-    is_dear = draft.weights.buffer > draft.weights.move and not waves.held_names
-    lacking = fleet.policy["spare_hosts"] - fleet.free_count - draft.pending - waves.lent
+    shrinks_buffer = draft.weights.buffer > draft.weights.move and not waves.held_names
+    missing_spares = (
+        fleet.policy["spare_hosts"] - fleet.free_count - draft.emptying_count - waves.lent
+    )
     groups = [fleet.groups_by_name[name] for name in fleet.surplus_group_names]
     for group in sorted(groups, key=least_urgent_first):
         name = group.requirement.name
         while group.has_surplus:
             too_large = group.size > group.requirement.max_hosts
-            wanted = lacking > 0 or is_dear
-            if not too_large and (not wanted or name in waves.held_names):
+            is_return_due = missing_spares > 0 or shrinks_buffer
+            if not too_large and (not is_return_due or name in waves.held_names):
                 break
             host = next(iter(surplus_hosts(draft, group)), None)
             if host is None:
                 break
             draft.drain(host, f"{name} has {group.size} hosts, its margin is {group.margin}")
-            lacking -= 1
+            missing_spares -= 1
     for host_id in sorted(fleet.stray_ids - draft.touched):
         host = fleet.hosts_by_id[host_id]
         draft.drain(host, f"pool {host['pool']} isn't declared")
 
 
-def settle_emptied(draft: Draft) -> None:
+def assign_emptied_to_spare(draft: Draft) -> None:
     """Assign emptied hosts that no pool needs to the spare pool."""
     fleet = draft.fleet
     for host_id in sorted(fleet.emptied_ids - draft.touched):
@@ -252,14 +254,14 @@
     Fewer hosts suit such a group, so it chooses while the most hosts are free.
     """
     need = group.requirement
-    return CONSTRAINED.index(need.survive), -need.min_hosts, need.name
+    return DOMAINS_LARGEST_FIRST.index(need.survive), -need.min_hosts, need.name
 
 
 def _most_urgent_first(group: Group) -> tuple[int, str]:
     return group.requirement.urgency, group.requirement.name
 
 
-def _missing(group: Group) -> int:
+def _count_missing(group: Group) -> int:
     pools = group.requirement.pools
     in_pools = sum(max(0, p.min_hosts - group.size_by_pool[name]) for name, p in pools.items())
     return max(-group.margin, in_pools, 0)
@@ -275,10 +277,10 @@
             draft.undrain(host, f"{group.requirement.name} lost its margin", 1)
     for host_id in sorted(fleet.emptying_ids - draft.touched):
         host = fleet.hosts_by_id[host_id]
-        if not group.is_short or not draft.pending:
+        if not group.is_short or not draft.emptying_count:
             return
         if host["pool"] in group.requirement.pools:
-            draft.pending -= 1
+            draft.emptying_count -= 1
             draft.undrain(host, f"{group.requirement.name} needs it again", 1)
 
 
@@ -288,9 +290,9 @@
     Hosts assigned last that don't reduce the shortage stay free.
     """
     candidates = Candidates(fleet=draft.fleet, group=group)
-    useful = len(draft.steps)
-    best = _missing(group)
-    while group.is_short and not group.is_full and len(draft.steps) < MOST_STEPS:
+    useful_count = len(draft.steps)
+    least_missing = _count_missing(group)
+    while group.is_short and not group.is_full and len(draft.steps) < MAX_STEPS:
         host = candidates.take()
         if host is None:
             break
@@ -298,10 +300,10 @@
         name = group.requirement.name
         reason = f"{name} has {group.size} hosts and a margin of {group.margin}"
         draft.assign(host, group.pool_for_next_host(), reason, gain)
-        if _missing(group) < best:
-            best = _missing(group)
-            useful = len(draft.steps)
-    draft.keep(useful)
+        if _count_missing(group) < least_missing:
+            least_missing = _count_missing(group)
+            useful_count = len(draft.steps)
+    draft.undo_after(useful_count)
 
 
 def _move_surplus(draft: Draft, group: Group, missing: int) -> int:
--- a/mustardgap/plans.py
+++ b/mustardgap/plans.py
@@ -9,9 +9,9 @@
 
 # The time that a host gets to start after it comes into service, before a drain in its group may
 # rely on it.
-SETTLE_S = 10.0
+HOST_START_S = 10.0
 # The share of the maintenance period for which a host that didn't drain isn't drained again.
-RETRY_SHARE = 1 / 14
+DRAIN_RETRY_RATIO = 1 / 14
 
 StepKind = Literal["assign", "drain", "undrain", "reboot", "move", "set_aside"]
 
@@ -73,38 +73,40 @@
         self.steps: list[Step] = []
         self.problems: list[str] = []
         self.touched: set[str] = set()
-        self.pending = len(fleet.emptying_ids)
-        self._before: list[HostState] = []
+        self.emptying_count = len(fleet.emptying_ids)
+        self._previous_hosts: list[HostState] = []
 
     def assign(self, host: HostState, pool: str, reason: str, gain: int = 0) -> None:
         """Assign a free host to a pool."""
-        same = host["phase"] == "drained" and host["pool"] == pool
-        self._step(host, "undrain" if same else "assign", pool, reason, gain, "in_service")
+        is_still_in_pool = host["phase"] == "drained" and host["pool"] == pool
+        self._add_step(
+            host, "undrain" if is_still_in_pool else "assign", pool, reason, gain, "in_service"
+        )
 
     def undrain(self, host: HostState, reason: str, gain: int = 0) -> None:
         """Cancel the drain of a host."""
-        self._step(host, "undrain", host["pool"], reason, gain, "in_service")
+        self._add_step(host, "undrain", host["pool"], reason, gain, "in_service")
 
     def drain(self, host: HostState, reason: str, *, wave: str = "", planned: bool = True) -> None:
         """Drain a host, for a wave or to return it to the spare pool."""
         text = PLAN_REASON_PREFIX + reason if planned and not wave else reason
-        self._step(host, "drain", host["pool"], text, 0, "draining", wave)
+        self._add_step(host, "drain", host["pool"], text, 0, "draining", wave)
 
     def move(self, host: HostState, pool: str, reason: str, gain: int = 0) -> None:
         """Drain a host for another pool."""
-        self._step(host, "move", pool, PLAN_REASON_PREFIX + reason, gain, "draining")
+        self._add_step(host, "move", pool, PLAN_REASON_PREFIX + reason, gain, "draining")
 
     def reboot(self, host: HostState, reason: str) -> None:
         """Reboot an empty host."""
-        self._step(host, "reboot", host["pool"], reason, 0, "rebooting", host["wave"])
+        self._add_step(host, "reboot", host["pool"], reason, 0, "rebooting", host["wave"])
 
     def set_aside(self, host: HostState, reason: str) -> None:
         """Stop counting a host as capacity."""
-        self._step(host, "set_aside", host["pool"], reason, 0, "set_aside")
+        self._add_step(host, "set_aside", host["pool"], reason, 0, "set_aside")
 
     def withhold(self, host: HostState) -> None:
         """Stop counting a host as capacity in this plan only, without a step."""
-        self._put(host, host["pool"], "set_aside", host["reason"], "")
+        self._replace_host(host, host["pool"], "set_aside", host["reason"], "")
 
     def is_settled(self, group: Group) -> bool:
         """Whether all hosts of a group have had the time to start.
@@ -114,7 +116,7 @@
         """
         hosts = self.fleet.hosts_by_id
         latest = max((hosts[h]["since"] for h in group.host_ids()), default=0.0)
-        return not 0 <= self.now - latest < SETTLE_S
+        return not 0 <= self.now - latest < HOST_START_S
 
     def is_overdue(self, host: HostState) -> bool:
         """Whether a host has been draining for longer than its service's profile allows."""
@@ -122,7 +124,7 @@
         drain_s = group.requirement.drain_s if group else DEFAULT_DRAIN_S
         return self.now - host["since"] > drain_s
 
-    def give_up_drain(self, host: HostState) -> None:
+    def cancel_overdue_drain(self, host: HostState) -> None:
         """Cancel the drain of a host that didn't become empty in time."""
         waited = self.now - host["since"]
         self.undrain(host, f"{status_codes.HOST_WONT_DRAIN}: not empty after {waited:.0f} s")
@@ -131,9 +133,9 @@
         """Whether a host failed to drain so recently that it must not be drained again yet."""
         if not host["reason"].startswith(str(status_codes.HOST_WONT_DRAIN)):
             return False
-        return self.now - host["since"] < self.fleet.policy["maintain_every_s"] * RETRY_SHARE
+        return self.now - host["since"] < self.fleet.policy["maintain_every_s"] * DRAIN_RETRY_RATIO
 
-    def keep(self, count: int) -> None:
+    def undo_after(self, count: int) -> None:
         """Undo all steps but the first ``count``.
 
         No host may have been withheld since the first step that is undone.
@@ -141,14 +143,14 @@
         while len(self.steps) > count:
             step = self.steps.pop()
             self.touched.discard(step.host)
-            self.fleet.update_host(self._before.pop())
+            self.fleet.update_host(self._previous_hosts.pop())
 
     def undo(self) -> None:
         """Undo all steps in the index; ``steps`` stays as it is."""
-        while self._before:
-            self.fleet.update_host(self._before.pop())
+        while self._previous_hosts:
+            self.fleet.update_host(self._previous_hosts.pop())
 
-    def _step(
+    def _add_step(
         self,
         host: HostState,
         kind: StepKind,
@@ -159,16 +161,18 @@
         wave: str = "",
     ) -> None:
         self.steps.append(Step(host["host"], kind, pool, reason, gain, wave, host["epoch"]))
-        self._put(host, host["pool"] if kind == "move" else pool, phase, reason, wave)
+        self._replace_host(host, host["pool"] if kind == "move" else pool, phase, reason, wave)
 
-    def _put(self, host: HostState, pool: str, phase: Phase, reason: str, wave: str) -> None:
+    def _replace_host(
+        self, host: HostState, pool: str, phase: Phase, reason: str, wave: str
+    ) -> None:
         after = host.copy()
         after["pool"] = pool
         after["phase"] = phase
         after["reason"] = reason
         after["wave"] = wave
         self.touched.add(host["host"])
-        self._before.append(host)
+        self._previous_hosts.append(host)
         self.fleet.update_host(after)
 
 
--- a/mustardgap/waves.py
+++ b/mustardgap/waves.py
@@ -85,7 +85,7 @@
             self._draft.reboot(host, f"wave {host['wave']}")
         elif host["phase"] == "draining":
             if self._draft.is_overdue(host):
-                self._draft.give_up_drain(host)
+                self._draft.cancel_overdue_drain(host)
         elif waited > max(self._settings.return_timeout_s, self._fleet.policy["reboot_s"]):
             code = status_codes.HOST_WONT_RETURN
             self._draft.set_aside(host, f"{code}: not back after {waited:.0f} s")
