--- a/features/steps/planners_steps.py
+++ b/features/steps/planners_steps.py
@@ -18,11 +18,11 @@
 
 LONG = bool(os.environ.get("MUSTARDGAP_LONG"))
 USERS = {"thekkady": fleets.thekkady, "federation": fleets.federation}
-SURVIVE = ["none", "host", "rack", "data_center"]
+SURVIVE_DOMAINS = ["none", "host", "rack", "data_center"]
 
 
 def bounded(examples):
-    """Hypothesis settings that draw the same examples each time, and more in long runs."""
+    """Return Hypothesis settings that draw the same examples in each run, and more in long runs."""
     return hypothesis_settings(
         max_examples=examples * (20 if LONG else 1),
         derandomize=True,
@@ -33,7 +33,7 @@
 
 @st.composite
 def specs(draw, spare=0):
-    """Small fleets: up to 4 data centers with up to 4 racks of up to 5 hosts, 4 services."""
+    """Draw small fleets: up to 4 data centers of up to 4 racks of up to 5 hosts, and 4 services."""
     racks = draw(
         st.lists(st.lists(st.integers(1, 5), min_size=1, max_size=4), min_size=1, max_size=4)
     )
@@ -42,7 +42,7 @@
         st.lists(
             st.tuples(
                 st.integers(0, max(1, hosts // 3)),
-                st.sampled_from(SURVIVE),
+                st.sampled_from(SURVIVE_DOMAINS),
                 st.integers(0, 9),
                 st.sampled_from([1000, 1000, 1000, hosts // 3 + 2]),
             ),
@@ -61,7 +61,7 @@
 
 
 def run_of(spec):
-    """A run of a fleet, None when the fold turns its declarations down."""
+    """Return a run of a fleet, or None when the fold rejects its declarations."""
     try:
         return PlanRun(spec=spec)
     except ValueError:
@@ -69,7 +69,7 @@
 
 
 def placement(run):
-    """The pool by host, of the hosts in service in one."""
+    """Return the pool of each host that is in service in a pool."""
     return {h["host"]: h["pool"] for h in run.hosts() if h["phase"] == "in_service" and h["pool"]}
 
 
@@ -89,13 +89,13 @@
 
 
 @then("planner every budget holds with the largest domain lost")
-def step_holds(context):
+def step_budgets_hold(context):
     assert context.run.short() == []
     assert (context.run.breaches, context.run.turned) == ([], [])
 
 
-@then("planner at most {gap:d} hosts more serve than in the exact answer")
-def step_exact(context, gap):
+@then("planner at most {gap:d} more hosts serve than in the exact solution")
+def step_near_exact(context, gap):
     best = exact.solve(exact.racks_of(context.spec.racks), context.spec.services)
     assert len(placement(context.run)) <= best.hosts + gap
 
@@ -103,7 +103,7 @@
 @when("planner sees that {event}")
 def step_event(context, event):
     run = context.run
-    context.gone = set()
+    context.failed_hosts = set()
     host = run.state.hosts_by_name[min(placement(run))]
     failing = [host["host"]]
     if event.startswith("a rack"):
@@ -123,19 +123,21 @@
             run.bring_back(name)
         run.settle()
     else:
-        context.gone = set(failing)
+        context.failed_hosts = set(failing)
 
 
-@then("planner made at most {moves:d} moves, and no more than a plan made anew")
+@then("planner made at most {moves:d} moves, and no more than a rebuild of the fleet")
 def step_moves(context, moves):
-    anew = naive_plans.rebuild(context.spec, exact.racks_of(context.spec.racks), context.gone)
-    naive = naive_plans.moves_between(context.before, anew)
+    rebuilt = naive_plans.rebuild(
+        context.spec, exact.racks_of(context.spec.racks), context.failed_hosts
+    )
+    naive = naive_plans.moves_between(context.before, rebuilt)
     assert context.run.moves <= moves, context.run.moves
     assert context.run.moves <= naive, (context.run.moves, naive)
 
 
 @then("planner has nothing left to do")
-def step_rest(context):
+def step_nothing_left(context):
     assert context.run.plan().steps == []
 
 
@@ -162,7 +164,7 @@
     run.settle()
 
 
-@when("planner sees a host of the most urgent service fail and the chosen one not drain")
+@when("planner sees a host of the most urgent service fail and the chosen replacement not drain")
 def step_chosen_stuck(context):
     run = context.run
     run.fail(min(host for host, pool in placement(run).items() if pool == "s0"))
@@ -171,8 +173,8 @@
     run.settle()
 
 
-@then("planner the chosen host is in service with {code} and another one went")
-def step_another_went(context, code):
+@then("planner the chosen host is in service with {code} and another one replaced it")
+def step_another_replaced(context, code):
     host = context.run.state.hosts_by_name[context.chosen]
     assert host["phase"] == "in_service" and host["reason"].startswith(code), host
     assert Counter(placement(context.run).values())["s0"] == 5
@@ -186,7 +188,7 @@
     assert context.before[moved.host] == "s2"
 
 
-@when("planner hears that a host leaves in {minutes:d} minutes")
+@when("planner is informed that a host leaves in {minutes:d} minutes")
 def step_leaving(context, minutes):
     run = context.run
     context.plans = []
@@ -207,7 +209,7 @@
 
 
 @then("planner gives the leaving host no new work")
-def step_no_new(context):
+def step_no_assignment(context):
     run = context.run
     emptied = min(h["host"] for h in run.hosts() if not h["pool"])
     run.leaving[emptied] = run.ledger.now + 300
@@ -237,7 +239,7 @@
     assert (host["phase"], host["pool"]) == ("drained", "")
 
 
-@when("planner sees a second pool of listings that wants 2 to 3 hosts, and room for 8")
+@when("planner sees a second pool of listings with 2 to 3 hosts, and at most 8 in the service")
 def step_second_pool(context):
     run = context.run
     second = {"service": "listings", "min_hosts": 2, "max_hosts": 3}
@@ -248,7 +250,7 @@
     run.settle()
 
 
-@when("planner reads that the second pool of listings may hold none")
+@when("planner sees the maximum of the second pool of listings fall to 0 hosts")
 def step_second_none(context):
     run = context.run
     listings = next(s for s in context.spec.services if s.name == "listings")
@@ -263,7 +265,7 @@
     assert (sizes["listings"], sizes["second"]) == (first, second), sizes
 
 
-@then("planner places random small fleets as the exact answer does, but for a few")
+@then("planner places random small fleets as the exact solution does, with few exceptions")
 def step_random_exact(context):
     counts = Counter()
 
@@ -274,7 +276,7 @@
         jobs = fleets.ServiceSpec("jobs", spec.job_pools["jobs"], "none")
         best = exact.solve(exact.racks_of(spec.racks), [*spec.services, jobs])
         if run is None:
-            # The fold refuses only what can't be satisfied at all.
+            # The fold rejects only declarations that can't be satisfied at all.
             assert best is None, spec
             return
         run.settle()
@@ -292,12 +294,13 @@
             assert best.hosts <= used <= best.hosts + 2, (used, best.hosts, spec)
 
     check()
-    # Tight fleets of a few racks are the hardest; the users' own are met exactly, see above.
+    # Fleets with few racks and little spare capacity are the hardest. For the users' fleets
+    # no exceptions are allowed, see the first scenario.
     assert counts["short"] <= 0.01 * counts["all"], counts
     assert counts["more"] <= 0.004 * counts["hosts"], counts
 
 
-@then("planner margins of random fleets equal the naive ones and the fold's")
+@then("planner margins of random fleets equal those of a naive count and of the fold")
 def step_margins(context):
     @bounded(60)
     @drawn(specs(), st.randoms(use_true_random=False))
@@ -321,7 +324,7 @@
 
 
 def act(run, rnd, spec):
-    """Let one random thing happen."""
+    """Apply one random event."""
     hosts = run.hosts()
     host = rnd.choice(hosts)
     name = host["host"]
@@ -353,8 +356,8 @@
         bring_all_back(run)
     elif kind == "profile":
         service = rnd.choice(spec.services)
-        least = rnd.randint(0, service.min_hosts + 1)
-        changed = service._replace(min_hosts=least, survive=rnd.choice(SURVIVE))
+        min_hosts = rnd.randint(0, service.min_hosts + 1)
+        changed = service._replace(min_hosts=min_hosts, survive=rnd.choice(SURVIVE_DOMAINS))
         run.declare(fleets.declarations_of_service(changed))
     elif kind == "wave":
         body = {"wave": f"w{run.state.offset}", "base": 0, "step": "start"}
@@ -364,12 +367,12 @@
     elif kind == "leaving":
         run.leaving[name] = run.ledger.now + 300
     elif kind == "race":
-        race(run)
+        run_racing_planners(run)
     run.tick(rnd.choice([1.0, 15.0, 70.0, 1000.0]))
 
 
-def race(run):
-    """Two planners plan from the same state; the second carries its plan out late."""
+def run_racing_planners(run):
+    """Let two planners plan from the same state; the second carries its plan out late."""
     late = plan(state=run.state, now=run.ledger.now, leaving=run.leaving).steps
     run.tick(5.0)
     run.tick(15.0)
@@ -379,7 +382,7 @@
 
 
 def bring_all_back(run):
-    """All that was broken is mended."""
+    """Clear all faults: hosts return, drains end, and no host leaves on short notice."""
     run.stuck.clear()
     run.leaving.clear()
     for host in run.hosts():
@@ -389,7 +392,7 @@
             run.record(host["host"], "drained", "", "plan: stays after all", wave="")
 
 
-def history(check):
+def check_random_histories(check):
     """Run a check on random histories."""
 
     @bounded(40)
@@ -410,28 +413,28 @@
     live()
 
 
-@then("planner plans of random histories are the same from the index and from nothing")
-def step_same(context):
+@then("planner plans of random histories are the same from the kept index and from a new one")
+def step_same_plans(context):
     def check(run):
         followed = run.plan()
-        anew = plan(state=run.state, now=run.ledger.now, leaving=run.leaving)
-        assert followed == anew, (followed, anew)
+        rebuilt = plan(state=run.state, now=run.ledger.now, leaving=run.leaving)
+        assert followed == rebuilt, (followed, rebuilt)
 
-    history(check)
+    check_random_histories(check)
 
 
-@then("planner random histories break no budget by planned work and come to rest")
+@then("planner random histories break no budget by planned work and end without steps left")
 def step_histories(context):
-    seen = SimpleNamespace(steps=0)
+    checked = SimpleNamespace(steps=0)
 
     def check(run):
-        seen.steps += 1
+        checked.steps += 1
         joining = {s.host for s in run.plan().steps if s.kind in ("assign", "undrain")}
         assert not joining & run.leaving.keys(), joining
         assert (run.breaches, run.turned) == ([], []), (run.breaches, run.turned)
 
-    history(check)
-    assert seen.steps > 500
+    check_random_histories(check)
+    assert checked.steps > 500
 
 
 @then('planner explains {kind} {name} with "{text}"')
