--- a/mustardgap/candidates.py
+++ b/mustardgap/candidates.py
@@ -10,9 +10,9 @@
 
 # Exchanges are tried with this many other services, so that a shortage that can't be mended costs
 # little each time.
-MOST_EXCHANGES = 8
+MAX_EXCHANGE_GROUPS = 8
 
-Wanted = Callable[[HostState], bool]
+HostFilter = Callable[[HostState], bool]
 
 
 class Candidates:
@@ -37,16 +37,19 @@
         for racks in self._racks_by_data_center.values():
             heapq.heapify(racks)
 
-    def take(self) -> HostState | None:
+    def best_host(self) -> HostState | None:
         """Return the best free host; the caller must assign it before it calls again."""
         best: tuple[tuple[int, int, int, int], str] | None = None
         for data_center, racks in self._racks_by_data_center.items():
             self._refresh(racks)
             if racks:
                 size, free, rack = racks[0]
-                held = self._group.size_by_data_center[data_center]
-                lost = self._group.requirement.survive == "data_center"
-                rank = ((held if lost else size, size, held, free), rack)
+                in_data_center = self._group.size_by_data_center[data_center]
+                must_survive = self._group.requirement.survive == "data_center"
+                rank = (
+                    (in_data_center if must_survive else size, size, in_data_center, free),
+                    rack,
+                )
                 best = rank if best is None else min(best, rank)
         return None if best is None else self._pick(best[1])
 
@@ -77,8 +80,8 @@
         return
     ids = group.largest_domain_ids()
     if group.margin > 0:
-        top = set(ids)
-        ids += [h for h in group.host_ids() if h not in top]
+        in_largest_domains = set(ids)
+        ids += [h for h in group.host_ids() if h not in in_largest_domains]
     for host_id in ids:
         host = fleet.hosts_by_id[host_id]
         if host_id in draft.touched or draft.is_stuck(host):
@@ -87,7 +90,7 @@
             yield host
 
 
-def gains(group: Group, host: HostState) -> bool:
+def improves_group(group: Group, host: HostState) -> bool:
     """Whether a host would add to a group's margin, or to a pool that is below its size."""
     return adds_margin(group, host) or group.margin >= 0
 
@@ -102,43 +105,43 @@
     return -group.requirement.urgency, group.requirement.name
 
 
-def find_donation(
-    draft: Draft, group: Group, wanted: Wanted, held_names: Collection[str] = ()
+def find_donor_host(
+    draft: Draft, group: Group, is_useful: HostFilter, excluded_names: Collection[str] = ()
 ) -> HostState | None:
     """Find the host that another group can best do without, the least urgent group first.
 
-    :param wanted: whether a host is of use to the group.
-    :param held_names: groups that keep their surplus for now.
+    :param is_useful: whether a host is of use to the group.
+    :param excluded_names: groups that keep their surplus for now.
     """
     fleet = draft.fleet
-    donors = [fleet.groups_by_name[n] for n in fleet.surplus_group_names if n not in held_names]
+    donors = [fleet.groups_by_name[n] for n in fleet.surplus_group_names if n not in excluded_names]
     for donor in sorted(donors, key=least_urgent_first):
         if donor is group:
             continue
-        hosts = (host for host in surplus_hosts(draft, donor) if wanted(host))
+        hosts = (host for host in surplus_hosts(draft, donor) if is_useful(host))
         best = min(hosts, key=lambda host: crowding(group, host), default=None)
         if best is not None:
             return best
     return None
 
 
-def exchange(draft: Draft, group: Group, wanted: Wanted) -> bool:
+def exchange(draft: Draft, group: Group, is_useful: HostFilter) -> bool:
     """Give a free host, of no use to this group, to another one that has a host of use.
 
     The other one's host is then surplus and comes over by the next plans.
     """
     donors = [g for g in draft.fleet.groups_by_name.values() if g is not group]
-    for donor in sorted(donors, key=least_urgent_first)[:MOST_EXCHANGES]:
+    for donor in sorted(donors, key=least_urgent_first)[:MAX_EXCHANGE_GROUPS]:
         if donor.is_full or donor.is_short:
             continue
-        free = Candidates(fleet=draft.fleet, group=donor).take()
+        free = Candidates(fleet=draft.fleet, group=donor).best_host()
         if free is None:
             return False
         count = len(draft.steps)
         name = group.requirement.name
         draft.assign(free, donor.pool_for_next_host(), f"so that a host of use can go to {name}")
         hosts = (draft.fleet.hosts_by_id[h] for h in donor.host_ids())
-        if any(donor.can_lose(host) and wanted(host) for host in hosts):
+        if any(donor.can_lose(host) and is_useful(host) for host in hosts):
             return True
         draft.keep(count)
     return False
--- a/mustardgap/planners.py
+++ b/mustardgap/planners.py
@@ -7,8 +7,8 @@
 from .candidates import (
     Candidates,
     exchange,
-    find_donation,
-    gains,
+    find_donor_host,
+    improves_group,
     least_urgent_first,
     surplus_hosts,
 )
@@ -196,7 +196,7 @@
         reserved = min(draft.pending, missing)
         draft.pending -= reserved
         missing -= reserved + _move_surplus(draft, group, missing - reserved)
-        if missing > 0 and not exchange(draft, group, partial(gains, group)):
+        if missing > 0 and not exchange(draft, group, partial(improves_group, group)):
             draft.problems.append(_shortage(group, missing))
 
 
@@ -279,7 +279,7 @@
     useful = len(draft.steps)
     best = _missing(group)
     while group.is_short and not group.is_full and len(draft.steps) < MOST_STEPS:
-        host = candidates.take()
+        host = candidates.best_host()
         if host is None:
             break
         gain = group.margin_with(host) - group.margin
@@ -296,7 +296,7 @@
     """Empty hosts of other groups for this one; return how many."""
     moved = 0
     while moved < missing and not group.is_full:
-        host = find_donation(draft, group, partial(gains, group))
+        host = find_donor_host(draft, group, partial(improves_group, group))
         if host is None:
             break
         reason = f"{group.requirement.name} lacks {missing - moved} hosts and no spare is left"
--- a/mustardgap/waves.py
+++ b/mustardgap/waves.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from . import status_codes
-from .candidates import Wanted, adds_margin, crowding, exchange, find_donation
+from .candidates import HostFilter, adds_margin, crowding, exchange, find_donor_host
 from .models import HostState, WaveState
 from .placements import SPARE_POOL, Fleet, Group
 from .plans import Draft, Step
@@ -190,7 +190,10 @@
         if any(self._assign_stand_in(group, kind, self._fleet.emptied_ids) for kind in kinds):
             return True
         weights = self._draft.weights
-        ways: list[Callable[[Group, Wanted], bool]] = [self._assign_stand_in, self._move_stand_in]
+        ways: list[Callable[[Group, HostFilter], bool]] = [
+            self._assign_stand_in,
+            self._move_stand_in,
+        ]
         # Surplus that is about to be given back costs one move when it goes on to the next service
         # at once, and two by way of the spare pool. Otherwise a spare host disturbs nobody.
         is_last = self._fleet.free_count <= self._fleet.policy["spare_hosts"]
@@ -201,7 +204,7 @@
         return exchange(self._draft, group, partial(adds_margin, group))
 
     def _assign_stand_in(
-        self, group: Group, wanted: Wanted, among: Collection[str] | None = None
+        self, group: Group, wanted: HostFilter, among: Collection[str] | None = None
     ) -> bool:
         if among is None:
             among = [h for ids in self._fleet.free_ids_by_rack.values() for h in ids]
@@ -214,9 +217,9 @@
         self._draft.assign(host, group.pool_for_next_host(), reason)
         return True
 
-    def _move_stand_in(self, group: Group, wanted: Wanted) -> bool:
+    def _move_stand_in(self, group: Group, wanted: HostFilter) -> bool:
         idle = self._fleet.surplus_group_names - self.held_names
-        host = find_donation(self._draft, group, wanted, self.held_names)
+        host = find_donor_host(self._draft, group, wanted, self.held_names)
         if host is None:
             return any(not self._draft.is_settled(self._fleet.groups_by_name[n]) for n in idle)
         reason = f"stands in while hosts of {group.requirement.name} are maintained"
