--- a/mustardgap/blames.py
+++ b/mustardgap/blames.py
@@ -6,42 +6,44 @@
 from .models import HostState, JobState
 
 # This many jobs must have failed on a worker one after the other before it is avoided, and set
-# aside when as many as PROOFS of them ended well elsewhere.
-SUSPECT_AFTER = 2
-SET_ASIDE_AFTER = 3
-PROOFS = 2
+# aside when as many as SET_ASIDE_AFTER_SUCCESSES of them ended well elsewhere.
+SUSPECT_AFTER_JOBS = 2
+SET_ASIDE_AFTER_JOBS = 3
+SET_ASIDE_AFTER_SUCCESSES = 2
 # A suspect is given a job again after this long, else it would stay under suspicion for ever.
-PROBE_S = 15.0
+PROBE_AFTER_S = 15.0
 # An attempt that nobody can tell the end of is held against the job much later than a failure, as
 # workers go down by themselves; a job that brings each of its workers down ends at last.
-UNKNOWN_FACTOR = 3
+UNKNOWN_OUTCOME_FACTOR = 3
 
 
-class Failures(NamedTuple):
+class WorkerFailures(NamedTuple):
     """The jobs that failed on a worker since one last ended well there, and when one last did."""
 
     jobs: frozenset[str]
-    proofs: int
-    latest: float
+    successes: int
+    latest_start: float
 
     @property
     def is_suspect(self) -> bool:
         """Whether jobs had better go elsewhere."""
-        return len(self.jobs) >= SUSPECT_AFTER
+        return len(self.jobs) >= SUSPECT_AFTER_JOBS
 
     def may_probe(self, now: float) -> bool:
         """Whether it is time to see if the suspicion holds."""
-        return not self.is_proven and now - self.latest > PROBE_S
+        return not self.is_at_fault and now - self.latest_start > PROBE_AFTER_S
 
     @property
-    def is_proven(self) -> bool:
+    def is_at_fault(self) -> bool:
         """Whether the worker is at fault: what failed there ended well elsewhere."""
-        return len(self.jobs) >= SET_ASIDE_AFTER and self.proofs >= PROOFS
+        return (
+            len(self.jobs) >= SET_ASIDE_AFTER_JOBS and self.successes >= SET_ASIDE_AFTER_SUCCESSES
+        )
 
 
 def failures_by_worker(
     jobs: Iterable[JobState], hosts: Mapping[str, HostState]
-) -> dict[str, Failures]:
+) -> dict[str, WorkerFailures]:
     """Find the workers on which nothing has ended well since some jobs failed there.
 
     :param jobs: all jobs known, those that have ended too.
@@ -66,39 +68,41 @@
         since = max(host["since"], succeeded.get(worker, 0.0))
         names = frozenset(name for name, at in started_by_job.items() if at >= since)
         if names:
-            latest = max(started_by_job[name] for name in names)
-            found[worker] = Failures(names, len(names & done_elsewhere), latest)
+            latest_start = max(started_by_job[name] for name in names)
+            found[worker] = WorkerFailures(names, len(names & done_elsewhere), latest_start)
     return found
 
 
-class Tries(NamedTuple):
+class FailedAttempts(NamedTuple):
     """What a job's own attempts say against it; ``total`` counts all that didn't end well."""
 
     failed_on: frozenset[str]
     failed: int
     total: int
 
-    def is_spent(self, max_attempts: int, capable: Collection[str]) -> bool:
+    def is_exhausted(self, max_attempts: int, capable: Collection[str]) -> bool:
         """Whether the job has had all its tries.
 
         :param max_attempts: how many failures end it, each on a different worker.
         :param capable: the workers that could run it; when it has failed on all of them, failures
             on the same worker count too.
         """
-        if self.total >= max_attempts * UNKNOWN_FACTOR:
+        if self.total >= max_attempts * UNKNOWN_OUTCOME_FACTOR:
             return True
         if len(self.failed_on) >= max_attempts:
             return True
         return self.failed >= max_attempts and self.failed_on.issuperset(capable)
 
 
-def tries_of(job: JobState, hosts: Mapping[str, HostState], blamed: Collection[str]) -> Tries:
+def count_failed_attempts(
+    job: JobState, hosts: Mapping[str, HostState], faulty_workers: Collection[str]
+) -> FailedAttempts:
     """Count the failures of a job, without those on workers that are at fault themselves.
 
     :param job: the job.
     :param hosts: all hosts.
-    :param blamed: workers that are shown to be at fault. A mere suspicion doesn't count: jobs that
-        fail everywhere would make every worker suspect, and be tried for ever.
+    :param faulty_workers: workers that are shown to be at fault. A mere suspicion doesn't count:
+        jobs that fail everywhere would make every worker suspect, and be tried for ever.
     """
     failed_on = []
     total = 0
@@ -106,6 +110,10 @@
         total += attempt["outcome"] in ("failed", "unknown")
         host = hosts.get(attempt["worker"])
         is_set_aside = host is not None and host["phase"] == "set_aside"
-        if attempt["outcome"] == "failed" and not is_set_aside and attempt["worker"] not in blamed:
+        if (
+            attempt["outcome"] == "failed"
+            and not is_set_aside
+            and attempt["worker"] not in faulty_workers
+        ):
             failed_on.append(attempt["worker"])
-    return Tries(frozenset(failed_on), len(failed_on), total)
+    return FailedAttempts(frozenset(failed_on), len(failed_on), total)
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from . import status_codes
-from .blames import Failures, failures_by_worker, tries_of
+from .blames import WorkerFailures, count_failed_attempts, failures_by_worker
 from .duties import Duties
 from .host_actors import host_body
 from .job_queues import Pause, Place, Queue, Reservation, Running, Waiting, least_run_s
@@ -69,7 +69,7 @@
         self._waiting_since: dict[str, float] = {}
         self._jobs_by_team: defaultdict[str, set[str]] = defaultdict(set)
         self._reserved: dict[str, Reservation] = {}
-        self._failures: dict[str, Failures] = {}
+        self._failures: dict[str, WorkerFailures] = {}
         self._capacities: Counter[Size] = Counter()
         self._capacity_by_host: dict[str, Size] = {}
         self._is_changed = True
@@ -268,7 +268,7 @@
                 return frozenset(avoid)
         return frozenset()
 
-    def _is_avoided(self, worker: str, failures: Failures, may_probe: bool) -> bool:
+    def _is_avoided(self, worker: str, failures: WorkerFailures, may_probe: bool) -> bool:
         """Whether a job avoids a worker on which jobs have failed.
 
         :param may_probe: whether the job may test such a worker: it is idempotent and hasn't been
@@ -296,13 +296,13 @@
             return EndJob(job["job"], status_codes.JOB_NEVER_FITS, why)
         if not job["attempts"]:
             return None
-        blamed = {worker for worker, f in self._failures.items() if f.is_proven}
-        tries = tries_of(job, state.hosts_by_name, blamed)
+        blamed = {worker for worker, f in self._failures.items() if f.is_at_fault}
+        tries = count_failed_attempts(job, state.hosts_by_name, blamed)
         # All workers are checked only for a job that has failed often enough.
         may_be_spent = tries.failed >= self.operations.settings.capacity.max_attempts
         capacity_by_worker = self.rooms.capacity_by_worker if may_be_spent else {}
         capable = [w for w, capacity in capacity_by_worker.items() if declared(spec).fits(capacity)]
-        if tries.is_spent(self.operations.settings.capacity.max_attempts, capable):
+        if tries.is_exhausted(self.operations.settings.capacity.max_attempts, capable):
             why = f"failed on {', '.join(sorted(tries.failed_on)) or 'workers that went down'}"
             return EndJob(job["job"], status_codes.JOB_FAILED_EVERYWHERE, why)
         return None
@@ -321,9 +321,9 @@
         found = []
         for worker, failures in self._failures.items():
             host = self.state.hosts_by_name.get(worker)
-            if failures.is_proven and host is not None and host["phase"] == "in_service":
+            if failures.is_at_fault and host is not None and host["phase"] == "in_service":
                 count = len(failures.jobs)
-                why = f"{count} jobs failed here one after the other, {failures.proofs} of them "
+                why = f"{count} jobs failed here one after the other, {failures.successes} of them "
                 decision = SetAside(worker, f"{why}ended well elsewhere")
                 body = host_body(host, "set_aside", host["pool"], decision.why)
                 if isinstance(self.operations.log.check("host", body), Accepted):
