--- a/mustardgap/placements.py
+++ b/mustardgap/placements.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from .models import HostState
-from .requirements import Declared, Requirement, read_policy, read_requirements
+from .requirements import Declarations, Requirement, read_policy, read_requirements
 from .states import domain_of
 
 PLAN_REASON_PREFIX = "plan: "
@@ -191,7 +191,7 @@
     :param hosts: the hosts of the folded state.
     """
 
-    def __init__(self, *, declarations_by_key: Declared, hosts: Iterable[HostState]) -> None:
+    def __init__(self, *, declarations_by_key: Declarations, hosts: Iterable[HostState]) -> None:
         self.policy = read_policy(declarations_by_key)
         self.hosts_by_id: dict[str, HostState] = {}
         self.groups_by_name: dict[str, Group] = {}
@@ -211,7 +211,7 @@
             self._index(host)
         self._update_all_statuses()
 
-    def update_declarations(self, declarations_by_key: Declared) -> None:
+    def update_declarations(self, declarations_by_key: Declarations) -> None:
         """Apply changed declarations; the indexes are rebuilt only if a requirement has changed."""
         self.policy = read_policy(declarations_by_key)
         requirements = read_requirements(declarations_by_key)
@@ -261,7 +261,7 @@
             return host["pool"] == SPARE_POOL
         return host["phase"] == "drained" and is_drained_by_planner(host)
 
-    def _build_groups(self, declarations_by_key: Declared) -> None:
+    def _build_groups(self, declarations_by_key: Declarations) -> None:
         self.groups_by_name.clear()
         self.groups_by_pool.clear()
         for name, requirement in self._requirements.items():
--- a/mustardgap/requirements.py
+++ b/mustardgap/requirements.py
@@ -16,7 +16,7 @@
     spare_hosts=0,
 )
 
-Declared = Mapping[str, Declaration | dict[str, Any]]
+Declarations = Mapping[str, Declaration | dict[str, Any]]
 
 
 class PoolRange(NamedTuple):
@@ -53,7 +53,7 @@
     return declaration.value if isinstance(declaration, Declaration) else declaration
 
 
-def read_requirements(declarations_by_key: Declared) -> dict[str, Requirement]:
+def read_requirements(declarations_by_key: Declarations) -> dict[str, Requirement]:
     """Work out the requirements by name: a service's name, or ``pool/NAME`` for a job pool.
 
     A service without a pool, or whose profile is missing, has none.
@@ -69,15 +69,15 @@
         if pool["service"]:
             pools_by_service.setdefault(pool["service"], {})[name] = size
         else:
-            by_name[key] = _of_job_pool(key, name, size)
+            by_name[key] = _job_pool_requirement(key, name, size)
     for service, pools in pools_by_service.items():
-        requirement = _of_service(service, pools, declarations_by_key)
+        requirement = _service_requirement(service, pools, declarations_by_key)
         if requirement is not None:
             by_name[service] = requirement
     return by_name
 
 
-def read_policy(declarations_by_key: Declared) -> Policy:
+def read_policy(declarations_by_key: Declarations) -> Policy:
     """Return the first policy by name, or the default one."""
     keys = sorted(key for key in declarations_by_key if key.startswith("policy/"))
     if not keys:
@@ -85,7 +85,7 @@
     return Policy(**value_of(declarations_by_key[keys[0]]))  # type: ignore[typeddict-item]
 
 
-def _of_job_pool(key: str, name: str, size: PoolRange) -> Requirement:
+def _job_pool_requirement(key: str, name: str, size: PoolRange) -> Requirement:
     return Requirement(
         name=key,
         service="",
@@ -98,23 +98,25 @@
     )
 
 
-def _of_service(
-    service: str, pools: dict[str, PoolRange], declarations_by_key: Declared
+def _service_requirement(
+    service: str, pools: dict[str, PoolRange], declarations_by_key: Declarations
 ) -> Requirement | None:
-    declared = declarations_by_key.get(f"service/{service}")
-    if declared is None:
+    service_declaration = declarations_by_key.get(f"service/{service}")
+    if service_declaration is None:
         return None
-    chosen = declarations_by_key.get(f"profile/{value_of(declared)['profile']}")
-    if chosen is None:
+    profile_declaration = declarations_by_key.get(
+        f"profile/{value_of(service_declaration)['profile']}"
+    )
+    if profile_declaration is None:
         return None
-    profile = value_of(chosen)
-    room = sum(p.max_hosts for p in pools.values())
+    profile = value_of(profile_declaration)
+    pool_max_hosts = sum(p.max_hosts for p in pools.values())
     return Requirement(
         name=service,
         service=service,
         min_hosts=profile["availability"]["min_hosts"],
         survive=profile["availability"]["survive"],
-        max_hosts=min(profile["room"]["max_hosts"], room),
+        max_hosts=min(profile["room"]["max_hosts"], pool_max_hosts),
         urgency=profile["urgency"],
         drain_s=profile["disruption"]["drain_s"],
         pools=pools,
