--- a/features/steps/executors_steps.py
+++ b/features/steps/executors_steps.py
@@ -259,7 +259,7 @@
                 after = r.upstreams.by_name["x1"].show()["after_leaving"]
                 assert len(after) <= 12, "more than what was under way"
             elif source == "a peer":
-                executors.leaving("x1", told=True)
+                executors.mark_leaving("x1", from_peer=True)
                 assert not heard, "told back to the peers"
             elif source == "the log":
                 hosts["w-x1"] = {"phase": "draining"}
--- a/mustardgap/departures.py
+++ b/mustardgap/departures.py
@@ -29,4 +29,4 @@
         self.gossiper.publish(KIND, executor, True, ttl_s=LEAVING_TTL_S, urgent=True)
 
     def _hear(self, executor: str, value: Any, sender: Member) -> None:
-        self.executors.leaving(executor, told=True)
+        self.executors.mark_leaving(executor, from_peer=True)
--- a/mustardgap/executors.py
+++ b/mustardgap/executors.py
@@ -13,13 +13,13 @@
 
 # How long a word that an executor leaves is believed; after that it is probed again.
 LEAVING_TTL_S = 120.0
-TIMED_REFRESH_S = 0.25
+CANDIDATE_REFRESH_S = 0.25
 # A try says nothing of how long an executor takes when this process was held up for more than this
 # share of it: what is left is still too short to be called slow, at three times the usual.
-MAX_HELD_UP_SHARE = 0.25
+MAX_PROCESS_PAUSE_RATIO = 0.25
 # Others may have closed a connection to a process that was silent for longer than this, in seconds:
 # the least of the time-outs that peers and executors have for idle connections.
-LONG_HOLD_UP_S = 2.0
+LONG_PROCESS_PAUSE_S = 2.0
 
 
 class ExecutorView(NamedTuple):
@@ -50,12 +50,12 @@
     declarations_by_key: dict[str, Any]
 
 
-class _Listed(NamedTuple):
+class _CachedCandidates(NamedTuple):
     """What was last worked out for a service, and what it followed from."""
 
     offset: int
     version: int
-    until: float
+    expires_at: float
     views: list[ExecutorView]
 
 
@@ -89,17 +89,17 @@
             settings=settings.requests,
             clock=self.clock,
             timeline=timeline or Timeline(member=settings.host),
-            floor=self._floor,
-            on_change=self._forget,
+            floor=self._min_hosts,
+            on_change=self._invalidate,
         )
         self._views_by_service: dict[str, dict[str, ExecutorView]] = {}
         self._services_by_worker: dict[str, list[tuple[str, str]]] = {}
-        self._listed: dict[str, _Listed] = {}
+        self._candidate_cache: dict[str, _CachedCandidates] = {}
         self._version = 0
         self._leaving_until: dict[str, float] = {}
         self._leaving_workers: frozenset[str] = frozenset()
-        self._callbacks: list[Callable[[str], None]] = []
-        self._is_first = True
+        self._leaving_callbacks: list[Callable[[str], None]] = []
+        self._is_first_listing = True
         self._update(set(workers.by_id))
         workers.on_change(self._update)
 
@@ -110,15 +110,15 @@
         :rtype: list
         """
         now = self.clock.monotonic()
-        listed = self._listed.get(service)
+        cached = self._candidate_cache.get(service)
         if (
-            listed is None
-            or listed.version != self._version
-            or listed.offset != self.state.offset
-            or now >= listed.until
+            cached is None
+            or cached.version != self._version
+            or cached.offset != self.state.offset
+            or now >= cached.expires_at
         ):
-            listed = self._listed[service] = self._list(service, now)
-        return listed.views
+            cached = self._candidate_cache[service] = self._find_candidates(service, now)
+        return cached.views
 
     def report(self, executor: str, result: TryResult, took_s: float = 0.0) -> None:
         """Take in how a try went.
@@ -132,18 +132,18 @@
         # missed their time. Blamed for that, healthy executors were ejected, and the sick one had
         # to stay as the last that may: of 600 requests it got up to 297, where 40 are enough. What
         # was seen, a refusal or an answer, still counts; what only the time says doesn't.
-        held_up_s = self._held_up_s(took_s)
-        by_own_pause = held_up_s > took_s * MAX_HELD_UP_SHARE
+        process_pause_s = self._process_pause_s(took_s)
+        by_own_pause = process_pause_s > took_s * MAX_PROCESS_PAUSE_RATIO
         if (
             sign is None
             or (sign.by_time and by_own_pause)
-            or (sign.failed and held_up_s >= LONG_HOLD_UP_S)
+            or (sign.failed and process_pause_s >= LONG_PROCESS_PAUSE_S)
         ):
             self.outliers.skip(executor)
         else:
             self.outliers.note(executor, sign, None if by_own_pause else took_s)
 
-    def _held_up_s(self, took_s: float) -> float:
+    def _process_pause_s(self, took_s: float) -> float:
         if self.timers is None:
             return 0.0
         return self.timers.held_up_s(self.clock.monotonic() - took_s)
@@ -161,11 +161,11 @@
         """Take in that a try was given up because its caller had gone."""
         self.outliers.skip(executor)
 
-    def leaving(self, executor: str, *, told: bool = False) -> None:
+    def mark_leaving(self, executor: str, *, from_peer: bool = False) -> None:
         """Choose this executor no more: it is about to leave.
 
         :param executor: the executor's id.
-        :param told: whether a peer said so; then peers aren't told again.
+        :param from_peer: whether a peer said so; then peers aren't told again.
         """
         now = self.clock.monotonic()
         is_news = self._leaving_until.get(executor, 0.0) <= now
@@ -174,15 +174,15 @@
             return
         self._version += 1
         self.outliers.timeline.add(
-            "executor.leaving", cause="peer" if told else "", executor=executor
+            "executor.leaving", cause="peer" if from_peer else "", executor=executor
         )
-        if not told:
-            for callback in self._callbacks:
+        if not from_peer:
+            for callback in self._leaving_callbacks:
                 callback(executor)
 
     def on_leaving(self, callback: Callable[[str], None]) -> None:
         """Call back with each executor that is found to be leaving here, for the peers."""
-        self._callbacks.append(callback)
+        self._leaving_callbacks.append(callback)
 
     def leaving_workers(self, workers: Collection[str]) -> None:
         """Choose no executor on these workers: the platform's list shows them as leaving."""
@@ -190,21 +190,21 @@
             self._leaving_workers = frozenset(workers)
             self._version += 1
 
-    def _list(self, service: str, now: float) -> _Listed:
+    def _find_candidates(self, service: str, now: float) -> _CachedCandidates:
         views = []
         for view in self._views_by_service.get(service, {}).values():
-            if not self._serves(view, now):
+            if not self._is_eligible(view, now):
                 continue
             weight = self.outliers.weight(view.executor)
             if weight > 0.0:
                 views.append(view._replace(weight=weight))
-        until = now + TIMED_REFRESH_S if self._changes_by_time(service) else float("inf")
-        return _Listed(self.state.offset, self._version, until, views)
+        expires_at = now + CANDIDATE_REFRESH_S if self._is_time_dependent(service) else float("inf")
+        return _CachedCandidates(self.state.offset, self._version, expires_at, views)
 
-    def _changes_by_time(self, service: str) -> bool:
+    def _is_time_dependent(self, service: str) -> bool:
         return bool(self._leaving_until) or not self.outliers.settled(service)
 
-    def _serves(self, view: ExecutorView, now: float) -> bool:
+    def _is_eligible(self, view: ExecutorView, now: float) -> bool:
         host = self.state.hosts_by_name.get(view.worker)
         if host is not None and host["phase"] != "in_service":
             return False
@@ -222,33 +222,33 @@
         """Take in the workers that changed."""
         for worker in sorted(workers):
             self._update_worker(worker)
-        self._is_first = self._is_first and not self.outliers.by_executor
+        self._is_first_listing = self._is_first_listing and not self.outliers.by_executor
         self._version += 1
 
     def _update_worker(self, worker: str) -> None:
         info = self.workers.by_id.get(worker)
-        views = _views(worker, info) if info is not None else {}
+        views = _executor_views(worker, info) if info is not None else {}
         for service, executor in self._services_by_worker.pop(worker, []):
             if executor not in views or views[executor][0] != service:
-                self._drop(service, executor)
+                self._remove_executor(service, executor)
         for executor, (service, view) in views.items():
             self._views_by_service.setdefault(service, {})[executor] = view
             if executor not in self.outliers.by_executor:
                 patient = Patient(executor=executor, service=service, worker=worker, rack=view.rack)
                 # At the start all are new, and nobody could take what they don't get.
-                self.outliers.add(patient, slowly=not self._is_first)
+                self.outliers.add(patient, slowly=not self._is_first_listing)
         if views:
             self._services_by_worker[worker] = [(s, e) for e, (s, _) in views.items()]
 
-    def _drop(self, service: str, executor: str) -> None:
+    def _remove_executor(self, service: str, executor: str) -> None:
         self._views_by_service[service].pop(executor, None)
         self.outliers.remove(executor)
         self._leaving_until.pop(executor, None)
 
-    def _forget(self, service: str) -> None:
-        self._listed.pop(service, None)
+    def _invalidate(self, service: str) -> None:
+        self._candidate_cache.pop(service, None)
 
-    def _floor(self, service: str) -> int:
+    def _min_hosts(self, service: str) -> int:
         declaration = self.state.declarations_by_key.get(f"service/{service}")
         if declaration is None:
             return 0
@@ -258,7 +258,7 @@
         return int(profile.value["availability"]["min_hosts"])
 
 
-def _views(worker: str, info: WorkerInfo) -> dict[str, tuple[str, ExecutorView]]:
+def _executor_views(worker: str, info: WorkerInfo) -> dict[str, tuple[str, ExecutorView]]:
     """The executors of a worker that is up, by id, each with its service."""
     if info["state"] != "up":
         return {}
--- a/mustardgap/sessions.py
+++ b/mustardgap/sessions.py
@@ -273,7 +273,7 @@
         took_s = self.parts.clock.monotonic() - started
         self.parts.executors.report(executor.executor, result, took_s)
         if getattr(result, "leaving", False):
-            self.parts.executors.leaving(executor.executor)
+            self.parts.executors.mark_leaving(executor.executor)
         return result
 
     def _patience(self) -> Patience | None:
