--- a/mustardgap/candidates.py
+++ b/mustardgap/candidates.py
@@ -1,4 +1,4 @@
-"""Which host to take next: from the spare pool, or from a group that can do without it."""
+"""Selects the next host for a group: from the spare pool or from another group's surplus."""
 
 import heapq
 from collections.abc import Callable, Collection, Iterator
@@ -8,21 +8,22 @@
 from .plans import Draft
 from .states import domain_of
 
-# Exchanges are tried with this many other services, so that a shortage that can't be mended costs
-# little each time.
+# An exchange is tried with at most this many other groups, which limits the cost of each plan
+# while a shortage can't be resolved.
 MAX_EXCHANGE_GROUPS = 8
 
 HostFilter = Callable[[HostState], bool]
 
 
 class Candidates:
-    """The free hosts in the order in which a group should take them.
+    """Ranks the free hosts for assignment to a group.
 
-    A rack ranks by how few of the group's hosts it and its data center hold, then by how many free
-    hosts it has, so that the racks fill evenly and later groups still find distinct ones. Ranks
-    only fall while hosts are taken, so a rack is ranked again when it comes up.
+    Racks with the fewest hosts of the group, in the rack and in its data center, come first, then
+    those with the most free hosts. So racks fill evenly, and later groups still find hosts in
+    different racks. Assigning hosts only makes a rack's rank worse, so it suffices to update a rack
+    when it reaches the top of its heap.
 
-    :param fleet: the index.
+    :param fleet: the index of hosts and groups.
     :param group: the group that needs hosts.
     """
 
@@ -38,7 +39,7 @@
             heapq.heapify(racks)
 
     def best_host(self) -> HostState | None:
-        """Return the best free host; the caller must assign it before it calls again."""
+        """Return the best free host, if any; the caller must assign it before the next call."""
         best: tuple[tuple[int, int, int, int], str] | None = None
         for data_center, racks in self._racks_by_data_center.items():
             self._refresh(racks)
@@ -74,7 +75,7 @@
 
 
 def surplus_hosts(draft: Draft, group: Group) -> Iterator[HostState]:
-    """The hosts that a group can lose, those in its fullest failure domains first."""
+    """Yield the hosts that a group can lose, those in its largest failure domains first."""
     fleet = draft.fleet
     if not draft.is_settled(group):
         return
@@ -91,27 +92,27 @@
 
 
 def improves_group(group: Group, host: HostState) -> bool:
-    """Whether a host would add to a group's margin, or to a pool that is below its size."""
+    """Whether a host would raise a group's margin, or only a pool's minimum is missing."""
     return adds_margin(group, host) or group.margin >= 0
 
 
 def adds_margin(group: Group, host: HostState) -> bool:
-    """Whether a host would add to a group's margin."""
+    """Whether a host would raise a group's margin."""
     return group.margin_with(host) > group.margin
 
 
 def least_urgent_first(group: Group) -> tuple[int, str]:
-    """Sort groups by falling urgency number."""
+    """Return a sort key that puts the least urgent groups, of the highest number, first."""
     return -group.requirement.urgency, group.requirement.name
 
 
 def find_donor_host(
     draft: Draft, group: Group, is_useful: HostFilter, excluded_names: Collection[str] = ()
 ) -> HostState | None:
-    """Find the host that another group can best do without, the least urgent group first.
+    """Find a surplus host of another group, searching the least urgent groups first.
 
-    :param is_useful: whether a host is of use to the group.
-    :param excluded_names: groups that keep their surplus for now.
+    :param is_useful: whether a host would help the group.
+    :param excluded_names: names of groups that keep their surplus for now.
     """
     fleet = draft.fleet
     donors = [fleet.groups_by_name[n] for n in fleet.surplus_group_names if n not in excluded_names]
@@ -126,9 +127,12 @@
 
 
 def exchange(draft: Draft, group: Group, is_useful: HostFilter) -> bool:
-    """Give a free host, of no use to this group, to another one that has a host of use.
+    """Assign a free host that can't help this group to another group that holds one that can.
 
-    The other one's host is then surplus and comes over by the next plans.
+    The other group's host then becomes surplus, and later plans move it to this group.
+
+    :param is_useful: whether a host would help the group.
+    :return: whether a free host was assigned.
     """
     donors = [g for g in draft.fleet.groups_by_name.values() if g is not group]
     for donor in sorted(donors, key=least_urgent_first)[:MAX_EXCHANGE_GROUPS]:
@@ -148,7 +152,7 @@
 
 
 def crowding(group: Group, host: HostState) -> tuple[int, int, str]:
-    """Sort hosts by how many of the group's stand in their domain and rack already."""
+    """Return a sort key that puts hosts first whose domain and rack hold few of the group."""
     domain = domain_of(host["facts"], group.requirement.survive)
     rack = domain_of(host["facts"], "rack")
     return len(group.ids_by_domain.get(domain, ())), group.size_by_rack[rack], host["host"]
