--- a/mustardgap/blames.py
+++ b/mustardgap/blames.py
@@ -1,24 +1,30 @@
-"""Whose fault a failed attempt is: the job's, or that of a worker that fails everything."""
+"""Attributes failed attempts to the job, or to a worker on which every job fails."""
 
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
 
 from .models import HostState, JobState
 
-# This many jobs must have failed on a worker one after the other before it is avoided, and set
-# aside when as many as SET_ASIDE_AFTER_SUCCESSES of them ended well elsewhere.
+# Number of jobs that must fail on a worker in a row before the worker is avoided.
 SUSPECT_AFTER_JOBS = 2
+# Number of jobs that must fail on a worker in a row before the worker is set aside.
 SET_ASIDE_AFTER_JOBS = 3
+# Number of those jobs that must also have succeeded on other workers before it is set aside.
 SET_ASIDE_AFTER_SUCCESSES = 2
-# A suspect is given a job again after this long, else it would stay under suspicion for ever.
+# After this long a suspect worker gets another job; otherwise it would stay suspect for ever.
 PROBE_AFTER_S = 15.0
-# An attempt that nobody can tell the end of is held against the job much later than a failure, as
-# workers go down by themselves; a job that brings each of its workers down ends at last.
+# A job fails after max_attempts times this many attempts that failed or whose outcome is unknown.
+# Unknown outcomes count for less than failures, as workers also go down by themselves, but a job
+# that brings down each of its workers still fails in the end.
 UNKNOWN_OUTCOME_FACTOR = 3
 
 
 class WorkerFailures(NamedTuple):
-    """The jobs that failed on a worker since one last ended well there, and when one last did."""
+    """The jobs that failed on a worker since a job last succeeded there.
+
+    ``successes`` counts those of them that succeeded on another worker, and ``latest_start`` is
+    when the latest of the failed attempts started.
+    """
 
     jobs: frozenset[str]
     successes: int
@@ -26,16 +32,16 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether jobs had better go elsewhere."""
+        """Whether jobs should avoid the worker."""
         return len(self.jobs) >= SUSPECT_AFTER_JOBS
 
     def may_probe(self, now: float) -> bool:
-        """Whether it is time to see if the suspicion holds."""
+        """Whether the worker may get a job again to test whether it still fails."""
         return not self.is_at_fault and now - self.latest_start > PROBE_AFTER_S
 
     @property
     def is_at_fault(self) -> bool:
-        """Whether the worker is at fault: what failed there ended well elsewhere."""
+        """Whether the worker is at fault: jobs that failed there succeeded elsewhere."""
         return (
             len(self.jobs) >= SET_ASIDE_AFTER_JOBS and self.successes >= SET_ASIDE_AFTER_SUCCESSES
         )
@@ -44,10 +50,12 @@
 def failures_by_worker(
     jobs: Iterable[JobState], hosts: Mapping[str, HostState]
 ) -> dict[str, WorkerFailures]:
-    """Find the workers on which nothing has ended well since some jobs failed there.
+    """Find the workers on which jobs have failed and none has succeeded since.
 
-    :param jobs: all jobs known, those that have ended too.
-    :param hosts: all hosts; what failed before a host came back into service doesn't count.
+    :param jobs: all known jobs, including ended ones.
+    :param hosts: all hosts by name; failures before a host's last change of phase, such as its
+        return to service, don't count.
+    :return: the failures by worker.
     """
     failed: dict[str, dict[str, float]] = {}
     succeeded: dict[str, float] = {}
@@ -74,18 +82,22 @@
 
 
 class FailedAttempts(NamedTuple):
-    """What a job's own attempts say against it; ``total`` counts all that didn't end well."""
+    """The failed attempts of one job.
+
+    ``failed_on`` and ``failed`` leave out attempts on workers that are at fault; ``total`` counts
+    all attempts that failed or whose outcome is unknown.
+    """
 
     failed_on: frozenset[str]
     failed: int
     total: int
 
     def is_exhausted(self, max_attempts: int, capable: Collection[str]) -> bool:
-        """Whether the job has had all its tries.
+        """Whether the job has used up its attempts.
 
-        :param max_attempts: how many failures end it, each on a different worker.
-        :param capable: the workers that could run it; when it has failed on all of them, failures
-            on the same worker count too.
+        :param max_attempts: number of failures, each on a different worker, that end the job.
+        :param capable: the workers that could run it; once it has failed on all of them, repeated
+            failures on one worker count too.
         """
         if self.total >= max_attempts * UNKNOWN_OUTCOME_FACTOR:
             return True
@@ -97,12 +109,13 @@
 def count_failed_attempts(
     job: JobState, hosts: Mapping[str, HostState], faulty_workers: Collection[str]
 ) -> FailedAttempts:
-    """Count the failures of a job, without those on workers that are at fault themselves.
+    """Count the failed attempts of a job, excluding failures on workers that are at fault.
 
     :param job: the job.
-    :param hosts: all hosts.
-    :param faulty_workers: workers that are shown to be at fault. A mere suspicion doesn't count:
-        jobs that fail everywhere would make every worker suspect, and be tried for ever.
+    :param hosts: all hosts by name.
+    :param faulty_workers: workers that are known to be at fault. Suspect ones must not be
+        included: a job that fails everywhere would make every worker suspect and be retried for
+        ever.
     """
     failed_on = []
     total = 0
