--- a/mustardgap/requirements.py
+++ b/mustardgap/requirements.py
@@ -1,4 +1,4 @@
-"""What each service and job pool needs, worked out from the declarations alone."""
+"""Derives the capacity requirements of services and job pools from the declarations."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -20,17 +20,17 @@
 
 
 class PoolRange(NamedTuple):
-    """The fewest and the most hosts of one pool."""
+    """The minimum and maximum number of hosts in one pool."""
 
     min_hosts: int
     max_hosts: int
 
 
 class Requirement(NamedTuple):
-    """What one service, or one job pool, needs.
+    """The capacity requirement of one service or job pool.
 
-    ``min_hosts`` must be left when the largest failure domain of kind ``survive`` is lost, and
-    ``max_hosts`` is the most it may hold over all its pools.
+    ``min_hosts`` hosts must remain after the loss of the largest failure domain of kind
+    ``survive``. ``max_hosts`` limits the number of hosts in all its pools together.
     """
 
     name: str
@@ -44,19 +44,22 @@
 
     @property
     def floor(self) -> int:
-        """The sum of the pools' own least sizes."""
+        """The sum of the pools' minimum sizes."""
         return sum(p.min_hosts for p in self.pools.values())
 
 
 def value_of(declaration: Declaration | dict[str, Any]) -> dict[str, Any]:
-    """Return the value of a declaration, or of a plain one that isn't on the log yet."""
+    """Return the value of a declaration; one that isn't on the log yet is a plain dict."""
     return declaration.value if isinstance(declaration, Declaration) else declaration
 
 
 def read_requirements(declarations_by_key: Declarations) -> dict[str, Requirement]:
-    """Work out the requirements by name: a service's name, or ``pool/NAME`` for a job pool.
+    """Derive the requirements from the declarations.
 
-    A service without a pool, or whose profile is missing, has none.
+    A service that has no pool, or whose declaration or profile is missing, has no requirement.
+
+    :param declarations_by_key: the declarations.
+    :return: the requirements by name: a service's name, or ``pool/NAME`` for a job pool.
     """
     pools_by_service: dict[str, dict[str, PoolRange]] = {}
     by_name: dict[str, Requirement] = {}
@@ -78,7 +81,7 @@
 
 
 def read_policy(declarations_by_key: Declarations) -> Policy:
-    """Return the first policy by name, or the default one."""
+    """Return the policy whose name sorts first, or the default policy if there is none."""
     keys = sorted(key for key in declarations_by_key if key.startswith("policy/"))
     if not keys:
         return DEFAULT_POLICY
