--- a/mustardgap/executors.py
+++ b/mustardgap/executors.py
@@ -1,4 +1,4 @@
-"""Which executors of a service may be chosen, and with which share of the work."""
+"""Selects the executors of a service that may get requests, and weights them."""
 
 from collections.abc import Callable, Collection
 from typing import Any, NamedTuple, Protocol
@@ -11,19 +11,21 @@
 from .timers import Clock, Timers
 from .tries import TryResult
 
-# How long a word that an executor leaves is believed; after that it is probed again.
+# An executor that is reported as leaving gets no requests for this long; then it is probed again.
 LEAVING_TTL_S = 120.0
+# How long a candidate list stays cached while it can change by the passing of time alone.
 CANDIDATE_REFRESH_S = 0.25
-# A try says nothing of how long an executor takes when this process was held up for more than this
-# share of it: what is left is still too short to be called slow, at three times the usual.
+# A try's duration is ignored if this process was paused for more than this share of it. Shorter
+# pauses lengthen the duration by a third at most, well below the three times the peers' median at
+# which an executor counts as slow.
 MAX_PROCESS_PAUSE_RATIO = 0.25
-# Others may have closed a connection to a process that was silent for longer than this, in seconds:
-# the least of the time-outs that peers and executors have for idle connections.
+# After a pause of this process longer than this, peers and executors may have closed its
+# connections: it is the shortest of their idle time-outs, in seconds.
 LONG_PROCESS_PAUSE_S = 2.0
 
 
 class ExecutorView(NamedTuple):
-    """An executor that may be chosen; ``weight`` is 1, or less while it starts slowly."""
+    """An executor that may get requests; ``weight`` is 1, or less during a slow start."""
 
     executor: str
     address: str
@@ -39,11 +41,11 @@
     by_id: dict[str, WorkerInfo]
 
     def on_change(self, callback: Callable[[set[str]], None]) -> None:
-        """Call back with the workers that changed."""
+        """Register a callback that gets the ids of the workers that changed."""
 
 
 class HasHosts(Protocol):
-    """The part of the folded state that is read here."""
+    """The part of the folded state that this module reads."""
 
     offset: int
     hosts_by_name: dict[str, Any]
@@ -51,7 +53,7 @@
 
 
 class _CachedCandidates(NamedTuple):
-    """What was last worked out for a service, and what it followed from."""
+    """The cached candidates of a service, with the state that they were computed from."""
 
     offset: int
     version: int
@@ -60,13 +62,13 @@
 
 
 class Executors:
-    """The executors of every service.
+    """Tracks the executors of every service and their health.
 
     :param settings: the daemon's settings.
     :param state: the folded state.
     :param workers: the polled view of workers.
-    :param timeline: where changes of health are noted.
-    :param timers: tell for how long this process was held up; without them it never was.
+    :param timeline: records changes of health.
+    :param timers: measure the pauses of this process; without them, none are assumed.
     :param clock: the clocks to read.
     """
 
@@ -104,7 +106,7 @@
         workers.on_change(self._update)
 
     def candidates(self, service: str) -> list[ExecutorView]:
-        """List the executors of a service that may be chosen now.
+        """List the executors of a service that may get requests now.
 
         :param service: the service.
         :rtype: list
@@ -121,17 +123,18 @@
         return cached.views
 
     def report(self, executor: str, result: TryResult, took_s: float = 0.0) -> None:
-        """Take in how a try went.
+        """Update an executor's health with the result of a try.
 
         :param executor: the executor's id.
         :param result: the result of the try.
-        :param took_s: seconds it took.
+        :param took_s: duration of the try in seconds.
         """
         sign = sign_of(result)
-        # A process that was held up finds, when it runs again, that its tries took too long or
-        # missed their time. Blamed for that, healthy executors were ejected, and the sick one had
-        # to stay as the last that may: of 600 requests it got up to 297, where 40 are enough. What
-        # was seen, a refusal or an answer, still counts; what only the time says doesn't.
+        # After a pause of this process, its tries seem slow or timed out. If that counted against
+        # the executors, healthy ones were ejected, and the sick one had to stay in use because
+        # ejection must leave a minimum of executors: it got up to 297 of 600 requests instead of
+        # 40. What was observed, such as a refusal or an answer, still counts; what follows from
+        # time alone doesn't.
         process_pause_s = self._process_pause_s(took_s)
         by_own_pause = process_pause_s > took_s * MAX_PROCESS_PAUSE_RATIO
         if (
@@ -149,23 +152,23 @@
         return self.timers.held_up_s(self.clock.monotonic() - took_s)
 
     def begin(self, executor: str, *, idempotent: bool) -> bool:
-        """Ask whether a request may go to an executor whose slot was got.
+        """Check whether a request that holds a slot of an executor may be sent to it.
 
         :param executor: the executor's id.
         :param idempotent: whether the request may be repeated.
-        :return: False when another executor should be taken, if there is one.
+        :return: False if another executor should be used, if there is one.
         """
         return self.outliers.begin(executor, idempotent=idempotent)
 
     def skip(self, executor: str) -> None:
-        """Take in that a try was given up because its caller had gone."""
+        """Note that a try was abandoned because its caller disconnected."""
         self.outliers.skip(executor)
 
     def mark_leaving(self, executor: str, *, from_peer: bool = False) -> None:
-        """Choose this executor no more: it is about to leave.
+        """Stop sending requests to an executor that is about to leave.
 
         :param executor: the executor's id.
-        :param from_peer: whether a peer said so; then peers aren't told again.
+        :param from_peer: whether a peer reported it; then it isn't sent to the peers again.
         """
         now = self.clock.monotonic()
         is_news = self._leaving_until.get(executor, 0.0) <= now
@@ -181,11 +184,11 @@
                 callback(executor)
 
     def on_leaving(self, callback: Callable[[str], None]) -> None:
-        """Call back with each executor that is found to be leaving here, for the peers."""
+        """Register a callback for executors that this host finds leaving, to inform the peers."""
         self._leaving_callbacks.append(callback)
 
     def leaving_workers(self, workers: Collection[str]) -> None:
-        """Choose no executor on these workers: the platform's list shows them as leaving."""
+        """Exclude the executors of workers that the platform's host list shows as leaving."""
         if self._leaving_workers != frozenset(workers):
             self._leaving_workers = frozenset(workers)
             self._version += 1
@@ -219,7 +222,7 @@
         return True
 
     def _update(self, workers: set[str]) -> None:
-        """Take in the workers that changed."""
+        """Update the executors of the workers that changed."""
         for worker in sorted(workers):
             self._update_worker(worker)
         self._is_first_listing = self._is_first_listing and not self.outliers.by_executor
@@ -235,7 +238,8 @@
             self._views_by_service.setdefault(service, {})[executor] = view
             if executor not in self.outliers.by_executor:
                 patient = Patient(executor=executor, service=service, worker=worker, rack=view.rack)
-                # At the start all are new, and nobody could take what they don't get.
+                # In the first listing all executors are new, so no others could take the share of
+                # the work that a slow start withholds from them.
                 self.outliers.add(patient, slowly=not self._is_first_listing)
         if views:
             self._services_by_worker[worker] = [(s, e) for e, (s, _) in views.items()]
@@ -259,7 +263,7 @@
 
 
 def _executor_views(worker: str, info: WorkerInfo) -> dict[str, tuple[str, ExecutorView]]:
-    """The executors of a worker that is up, by id, each with its service."""
+    """Return the executors of a worker by id, each with its service; none unless it is up."""
     if info["state"] != "up":
         return {}
     return {
