--- a/features/executors.feature
+++ b/features/executors.feature
@@ -1,76 +1,77 @@
-Feature: sick and leaving executors get no work that others could do
-  Executors die, freeze, answer slowly, fail a part of their requests or leave. What the service's
-  callers lose is bounded, and so is what is taken out of service for it.
+Feature: Sick and leaving executors get no requests that other executors could serve
+  Executors crash, freeze, slow down, fail a part of their requests or leave. Both the requests that
+  callers lose and the executors that are ejected for it are bounded.
 
-  Scenario Outline: of six executors one is <sick>
-    Requests go to all six. The sick one's failures are repeated elsewhere where that is safe, and
-    it is ejected after a few, so that it costs only the non-idempotent requests that it was given.
+  Scenario Outline: One of six executors is <fault>
+    Requests go to all six executors. Failed requests are retried on another executor where that is
+    safe. The sick executor is ejected after a few failures, so that only the non-idempotent
+    requests that it had already received are lost.
 
-    When executors get 600 <kind> requests while one of six is <sick>
-    Then executors answered at least <least> of them and the sick one got at most <most> tries
+    When 600 <kind> requests are sent to six executors of which one is <fault>
+    Then at least <min_answered> requests are answered and the sick executor gets at most <max_tries> tries
 
     Examples:
-      | kind           | sick                | least | most |
-      | idempotent     | dead                | 600   | 40   |
-      | non-idempotent | dead                | 600   | 40   |
-      | idempotent     | resetting           | 600   | 40   |
-      | non-idempotent | resetting           | 560   | 40   |
-      | idempotent     | frozen              | 600   | 40   |
-      | idempotent     | failing             | 600   | 40   |
-      | idempotent     | failing 3 of 10     | 600   | 100  |
-      | idempotent     | refusing            | 600   | 40   |
-      | non-idempotent | refusing            | 600   | 40   |
-      | idempotent     | ten times as slow   | 600   | 60   |
-
-  Scenario Outline: a host held up for <held> s of a try's <took> s, which <ends>, <counts>
-    A host that is stopped, or waits for a processor, finds its waits over when it runs again. It
-    blamed well executors, and callers were left with the sick one, which had to stay as the last
-    that may. What it has seen counts; what only the time says doesn't.
-
-    When executors have a try of <took> s that <ends>, and the host is held up for <held> s of it
-    Then executors have that try <counts>
+      | kind           | fault             | min_answered | max_tries |
+      | idempotent     | dead              | 600          | 40        |
+      | non-idempotent | dead              | 600          | 40        |
+      | idempotent     | resetting         | 600          | 40        |
+      | non-idempotent | resetting         | 560          | 40        |
+      | idempotent     | frozen            | 600          | 40        |
+      | idempotent     | failing           | 600          | 40        |
+      | idempotent     | failing 3 of 10   | 600          | 100       |
+      | idempotent     | refusing          | 600          | 40        |
+      | non-idempotent | refusing          | 600          | 40        |
+      | idempotent     | ten times as slow | 600          | 60        |
+
+  Scenario Outline: A try of <took> s that <ends> while the host is paused for <paused> s is <counts>
+    A host that is stopped, or waits for a processor, finds its timers expired when it resumes. Such
+    a host blamed healthy executors, and callers were left with the sick one, which couldn't be
+    ejected as the last one in use. Observed results count; results based on time alone don't.
+
+    When an executor's try of <took> s <ends> and the host is paused for <paused> s of it
+    Then the executor's try is <counts>
 
     Examples:
-      | took | held | ends          | counts           |
-      | 0.5  | 0    | can't connect | counted          |
-      | 0.5  | 0.1  | can't connect | counted          |
-      | 0.5  | 0.4  | can't connect | not counted      |
-      | 0.5  | 0.4  | is refused    | counted timeless |
-      | 0.5  | 0.4  | times out     | not counted      |
-      | 0.5  | 0.1  | times out     | counted          |
-      | 0.5  | 0.4  | is reset      | counted timeless |
-      | 3.0  | 2.5  | is reset      | not counted      |
-      | 0.5  | 0    | is answered   | counted          |
-      | 0.5  | 0.4  | is answered   | counted timeless |
-      | 3.0  | 2.5  | is answered   | counted timeless |
-
-  Scenario Outline: tries of <here> at one of six and <elsewhere> elsewhere have it <seen>
-    After the host was held up many tries count without their time. The few times that are left, or
-    none at all elsewhere, were taken for all of them: an executor was ejected for one slow read, or
-    for usual times beside a mean of nothing.
-
-    When executors have tries of <here> at one of six and <elsewhere> elsewhere
-    Then executors have that one <seen>
+      | took | paused | ends          | counts          |
+      | 0.5  | 0      | can't connect | counted         |
+      | 0.5  | 0.1    | can't connect | counted         |
+      | 0.5  | 0.4    | can't connect | not counted     |
+      | 0.5  | 0.4    | is refused    | counted untimed |
+      | 0.5  | 0.4    | times out     | not counted     |
+      | 0.5  | 0.1    | times out     | counted         |
+      | 0.5  | 0.4    | is reset      | counted untimed |
+      | 3.0  | 2.5    | is reset      | not counted     |
+      | 0.5  | 0      | is answered   | counted         |
+      | 0.5  | 0.4    | is answered   | counted untimed |
+      | 3.0  | 2.5    | is answered   | counted untimed |
+
+  Scenario Outline: An executor with tries of <here> is <state> if the others have <elsewhere>
+    After a pause of the host, many tries count without their duration. The few durations that were
+    left, or none at all at the other executors, were taken as typical: an executor was ejected for
+    one slow read, or for usual durations compared with a mean of zero.
+
+    When one of six executors has tries of <here> and the others have <elsewhere>
+    Then the first executor is <state> and the others are well
 
     Examples:
-      | here                   | elsewhere                 | seen    |
-      | 20 x 0.2 s             | 20 x 0.01 s               | ejected |
-      | 19 x no time, 1 x 2 s  | 20 x 0.01 s               | well    |
-      | 10 x no time, 10 x 2 s | 20 x 0.01 s               | ejected |
-      | 20 x 0.06 s            | 20 x no time              | well    |
-      | 20 x 0.06 s            | 18 x no time, 2 x 0.001 s | well    |
-      | 20 x 0.06 s            | 17 x no time, 3 x 0.001 s | ejected |
-
-  Scenario Outline: an executor that fails <failed> of <tries> tries is <seen>
-    A caller gets an error, or waits for a retry, each time that a sick executor fails. One that
-    fails a sixth of its requests looks like bad luck after a few; after many it is certain, and it
-    has to go. The others fail <elsewhere> of 100 by the fault of their requests.
+      | here                       | elsewhere                     | state   |
+      | 20 x 0.2 s                 | 20 x 0.01 s                   | ejected |
+      | 19 x no duration, 1 x 2 s  | 20 x 0.01 s                   | well    |
+      | 10 x no duration, 10 x 2 s | 20 x 0.01 s                   | ejected |
+      | 20 x 0.06 s                | 20 x no duration              | well    |
+      | 20 x 0.06 s                | 18 x no duration, 2 x 0.001 s | well    |
+      | 20 x 0.06 s                | 17 x no duration, 3 x 0.001 s | ejected |
+
+  Scenario Outline: An executor that fails <failed> of <tries> tries, the others <elsewhere> %, is <state>
+    Each failure of a sick executor costs a caller an error or a retry. An executor that fails a
+    sixth of its requests can't be told from chance after a few tries; after many it is certain, and
+    it must be ejected. The others fail <elsewhere> of 100 tries because of the requests themselves.
 
     When executors fail <elsewhere> of 100 tries each, and one fails <failed> of <tries>
-    Then executors have that one <seen>
+    Then the first executor is <state> and the others are well
 
     Examples:
-      | failed | tries | elsewhere | seen    |
+      | failed | tries | elsewhere | state   |
       | 3      | 10    | 0         | ejected |
       | 2      | 10    | 0         | well    |
       | 6      | 40    | 0         | well    |
@@ -80,32 +81,34 @@
       | 19     | 100   | 5         | well    |
       | 35     | 100   | 5         | ejected |
 
-  Scenario Outline: of six executors with a budget of <budget>, <count> that are <sick> stay in use
-    Ejecting them all would leave the service with less than its budget, or the signs speak of the
-    requests and not of executors. What can't be ejected gets the smallest share of the work.
+  Scenario Outline: With a budget of <budget>, at most <max_ejected> of <count> executors that are <fault> are ejected
+    Ejecting all of them would leave the service with fewer executors than its budget, or the
+    failures come from the requests rather than from the executors. A sick executor that can't be
+    ejected gets the smallest share of the requests.
 
-    When executors with a budget of <budget> get requests while <count> of six are <sick>
-    Then executors ejected are at most <most>
+    When a service with a budget of <budget> gets requests while <count> of six are <fault>
+    Then at most <max_ejected> executors are ejected
 
     Examples:
-      | budget | count | sick      | most |
-      | 1      | 4     | resetting | 3    |
-      | 5      | 4     | resetting | 1    |
-      | 6      | 2     | resetting | 0    |
-      | 1      | 6     | resetting | 3    |
-      | 1      | 6     | failing   | 0    |
-      | 1      | 6     | frozen    | 0    |
-
-  Scenario Outline: an executor that fails five times while its peers have <peers> is <seen>
-    All requests of a moment fail, for a reason that is theirs or stands behind every executor. The one
-    that gets five of them first would be ejected, and then the next one, for what isn't their fault:
-    no peer has been tried often enough by itself to tell. All peers' tries together do tell it.
-
-    When executors have five failures in a row at one of six, whose peers have <peers>
-    Then executors have that one <seen>
+      | budget | count | fault     | max_ejected |
+      | 1      | 4     | resetting | 3           |
+      | 5      | 4     | resetting | 1           |
+      | 6      | 2     | resetting | 0           |
+      | 1      | 6     | resetting | 3           |
+      | 1      | 6     | failing   | 0           |
+      | 1      | 6     | frozen    | 0           |
+
+  Scenario Outline: An executor that fails five times while the others have <peers> is <state>
+    For a moment all requests fail, because of the requests or of something that all executors
+    depend on. The executor that got five of them first would be ejected, and then the next one,
+    though neither is at fault. No other executor has enough tries by itself to show this, but the
+    tries of all of them together do.
+
+    When one of six executors fails five times in a row and the others have <peers>
+    Then the first executor is <state> and the others are well
 
     Examples:
-      | peers               | seen    |
+      | peers               | state   |
       | failed twice each   | well    |
       | answered twice each | ejected |
       | failed once each    | well    |
@@ -113,47 +116,47 @@
       | not been tried      | well    |
       | failed 4 times each | well    |
 
-  Scenario: an executor that was ejected comes back by a probe and slowly
-    Its time being over, it gets the smallest share, of requests that may be repeated. If it answers,
-    its share grows back; if it fails again, it is out for twice as long.
+  Scenario: An ejected executor returns by way of a probe and a slow start
+    After its ejection the executor gets the smallest share, of idempotent requests only. If it
+    answers, its share grows back; if it fails again, it is ejected for twice as long.
 
-    When executors have one that is sick, then well
-    Then executors saw it ejected, probing, ejected for longer, probing, returning and well
-    And executors gave it no non-idempotent request before it had answered a probe
+    When one of six executors is sick and then recovers
+    Then the executor is ejected, probing, ejected for longer, probing, returning and well
+    And the executor gets no non-idempotent request before it has answered a probe
 
-  Scenario Outline: an executor that leaves gets nothing new: <source>
-    When executors hear from <source> that one leaves
-    Then executors leave it out at once and give it back when it is up again
+  Scenario Outline: An executor that is reported as leaving by <source> gets no new requests
+    When an executor is reported as leaving by <source>
+    Then the executor is excluded at once and gets requests again when it is up
 
     Examples:
-      | source                  |
-      | its answer              |
-      | a peer                  |
-      | the log                 |
-      | the platform's workers  |
+      | source                   |
+      | its answer               |
+      | a peer                   |
+      | the log                  |
+      | the platform's workers   |
       | the platform's host list |
 
-  Scenario: what a starting entry host finds gets full shares at once, and what comes later doesn't
-    At the start nobody could take the work that executors on a slow start don't get. The view of
-    workers is empty until it has been read for the first time.
+  Scenario: Executors in an entry host's first listing get full shares at once, later ones don't
+    At the start no other executors could take the requests that a slow start withholds. The view of
+    workers is empty until its first read.
 
-    When executors are found at the start, and one more later
-    Then executors found at the start have full shares and the later one the smallest
+    When executors are listed at the start, and one more later
+    Then executors of the first listing have full shares and the later one the smallest
 
-  Scenario: a rack that fails takes one failure for each of its executors after the second
-    Two workers of a rack can't be reached. The third of that rack is ejected by its first failure,
-    an executor of another rack is not.
+  Scenario: In a failing rack, executors are ejected by one failure after two workers have failed
+    Two workers of a rack can't be reached. An executor on a third worker of that rack is ejected by
+    its first failure; an executor in another rack is not.
 
-    When executors of two workers of a rack can't be reached
+    When executors on two workers of a rack can't be reached
     Then executors elsewhere in that rack are ejected by one failure, and others aren't
 
-  Scenario: slow starts write no line to the log, ejections and returns do
-    The few lines that matter would be lost among thousands: in a fleet every executor that comes up
-    starts slowly, and each wrote two lines. The timeline still has every change of state.
+  Scenario: Slow starts aren't logged, ejections and returns are
+    In a large fleet every executor that comes up starts slowly, and each slow start wrote two log
+    lines, which hid the few lines that matter. The timeline still has every change of state.
 
     When executors start slowly, and one of them is ejected and returns
     Then executors wrote one line for the ejection and one for the return, and all to the timeline
 
-  Scenario: drawn signs never eject below the floor, and never one that does as well as the rest
-    When executors' signs are drawn
-    Then executors that stay are never fewer than the floor
+  Scenario: Ejection never goes below the floor and never ejects an executor without failures
+    When executors get random results
+    Then executors that aren't ejected are never fewer than the floor
--- a/features/steps/executors_steps.py
+++ b/features/steps/executors_steps.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from behave import then, when
-from hypothesis import given as drawn
+from hypothesis import given as given_random
 from hypothesis import strategies as st
 
 from features.support.drawing import bounded
@@ -20,8 +20,8 @@
 from mustardgap.tries import Complete, NotSent, Reset, TimedOut
 
 LONG = os.environ.get("MUSTARDGAP_LONG") == "1"
-SIX = [f"x{number}" for number in range(1, 7)]
-SICK = {
+NAMES = [f"x{number}" for number in range(1, 7)]
+FAULTS = {
     "resetting": {"name": "reset_after_reading"},
     "failing": {"name": "failing"},
     "failing 3 of 10": {"name": "failing", "ratio": 0.3},
@@ -29,7 +29,7 @@
     "ten times as slow": {"name": "slow", "factor": 10.0},
 }
 OK, HARD = Sign(False), Sign(True, hard=True)
-GONE = Sign(True, hard=True, unreachable=True)
+UNREACHABLE = Sign(True, hard=True, unreachable=True)
 
 
 class FakeClock(Clock):
@@ -41,8 +41,8 @@
         return self.now
 
 
-class SleepingClock(FakeClock):
-    """A clock that stands still, and by which a sleep has no end."""
+class EndlessSleepClock(FakeClock):
+    """A clock that stands still, and whose sleeps never end."""
 
     def __init__(self):
         self.sleeps = asyncio.Event()
@@ -52,10 +52,10 @@
         await asyncio.Event().wait()
 
 
-class UnstalledClock(Clock):
-    """A clock that leaves out the time in which this process was held up.
+class PauseFreeClock(Clock):
+    """A clock that leaves out the pauses of this process.
 
-    Its hands move with its readings, by ``MAX_STEP_S`` at most.
+    Each reading advances it by the time since the last one, by ``MAX_STEP_S`` at most.
     """
 
     MAX_STEP_S = 0.03
@@ -70,25 +70,25 @@
         return self._shown
 
 
-class Six(Rig):
-    """Six executors behind one entry host that spreads its requests, and counts its tries."""
+class SixExecutorsRig(Rig):
+    """Six executors behind one entry host that spreads its requests and counts its tries."""
 
     def __init__(self, **options):
-        super().__init__(SIX, slots=SpreadSlots, **options)
+        super().__init__(NAMES, slots=SpreadSlots, **options)
         self.tries = Counter()
 
     async def __aenter__(self):
         await super().__aenter__()
-        take_in = self.entry.executors.report
+        original_report = self.entry.executors.report
 
         def report(executor, result, took_s):
             self.tries[executor] += 1
-            take_in(executor, result, took_s)
+            original_report(executor, result, took_s)
 
         self.entry.executors.report = report
         return self
 
-    def make_sick(self, sick, names):
+    def inject_fault(self, sick, names):
         for name in names:
             executor = self.upstreams.by_name[name]
             if sick == "dead":
@@ -96,31 +96,32 @@
             elif sick == "frozen":
                 executor.pause()
             else:
-                self.fault(on=name, **SICK[sick])
+                self.fault(on=name, **FAULTS[sick])
 
-    async def ask_many(self, kind, count, at_once=12, timeout_s=20.0):
-        gate = asyncio.Semaphore(at_once)
+    async def send_requests(self, kind, count, max_concurrent=12, timeout_s=20.0):
+        gate = asyncio.Semaphore(max_concurrent)
 
-        async def one():
+        async def send_one():
             async with gate:
-                told = await self.ask(kind, query="run_s=0.01", timeout_s=timeout_s)
-            told.check(self.runs(told.path), kind == "idempotent")
-            return told
+                reply = await self.ask(kind, query="run_s=0.01", timeout_s=timeout_s)
+            reply.check(self.runs(reply.path), kind == "idempotent")
+            return reply
 
-        return await asyncio.gather(*(one() for _ in range(count)))
+        return await asyncio.gather(*(send_one() for _ in range(count)))
 
 
-@when("executors get {count:d} {kind} requests while one of six is {sick}")
-def one_of_six(context, count, kind, sick):
-    # Where the sick one answers, nothing has to be tried elsewhere for its silence. A test process
-    # that is held up would find all six silent, and spend the retries that failures need on that.
+@when("{count:d} {kind} requests are sent to six executors of which one is {sick}")
+def send_while_one_sick(context, count, kind, sick):
+    # If the sick executor answers, no retries for silence are needed. With a short silent timeout,
+    # a pause of the test process would make all six seem silent and use up the retries that
+    # failures need.
     silent = sick in ("frozen", "ten times as slow")
 
     async def main():
-        async with Six(requests={} if silent else {"silent_timeout_s": 15.0}) as r:
-            r.make_sick(sick, ["x1"])
-            told = await r.ask_many(kind, count)
-            unanswered = [t for t in told if t.code != 1000 or t.resp.code != 200]
+        async with SixExecutorsRig(requests={} if silent else {"silent_timeout_s": 15.0}) as r:
+            r.inject_fault(sick, ["x1"])
+            replies = await r.send_requests(kind, count)
+            unanswered = [t for t in replies if t.code != 1000 or t.resp.code != 200]
             context.answered = count - len(unanswered)
             context.unanswered = [
                 f"{t.resp.code} {t.code} after {t.resp.request_time:.2f} s: {t.resp.body!r}, "
@@ -132,14 +133,14 @@
     asyncio.run(main())
 
 
-@then("executors answered at least {least:d} of them and the sick one got at most {most:d} tries")
+@then("at least {least:d} requests are answered and the sick executor gets at most {most:d} tries")
 def check_one_of_six(context, least, most):
     seen = f"answered {context.answered}, tries of the sick one {context.tries}"
     seen += f", unanswered {context.unanswered[:10]}"
     assert context.answered >= least and context.tries <= most, seen
 
 
-ENDS = {
+RESULTS = {
     "can't connect": NotSent(by_time=True),
     "is refused": NotSent(),
     "times out": TimedOut(),
@@ -148,11 +149,9 @@
 }
 
 
-@when(
-    "executors have a try of {took:g} s that {ends}, and the host is held up for {held:g} s of it"
-)
+@when("an executor's try of {took:g} s {ends} and the host is paused for {held:g} s of it")
 def try_held_up(context, took, ends, held):
-    clock, workers = SleepingClock(), make_workers([("x1", "127.0.0.1:1", "r1")])
+    clock, workers = EndlessSleepClock(), make_workers([("x1", "127.0.0.1:1", "r1")])
     timers = Timers(clock=clock)
     settings = Settings(host="e", data_center="d", platform=PlatformSettings(address="127.0.0.1:1"))
     executors = Executors(
@@ -160,30 +159,30 @@
     )
 
     async def main():
-        watch = asyncio.create_task(timers.run())
+        tick_task = asyncio.create_task(timers.run())
         await clock.sleeps.wait()
-        # The tick that is due after its period comes later by as long as the host is held up.
+        # A pause of the host delays the next tick by its length.
         clock.now += timers.TICK_S + held
-        executors.report("x1", ENDS[ends], took)
-        watch.cancel()
+        executors.report("x1", RESULTS[ends], took)
+        tick_task.cancel()
 
     asyncio.run(main())
     context.health = executors.outliers.by_executor["x1"].health
 
 
-@then("executors have that try {counts}")
+@then("the executor's try is {counts}")
 def check_counted(context, counts):
     health = context.health
-    seen = "not counted" if not health.tries else "counted" if health.mean_s else "counted timeless"
+    seen = "not counted" if not health.tries else "counted" if health.mean_s else "counted untimed"
     assert seen == counts, (health.tries, health.mean_s)
 
 
-@when("executors with a budget of {budget:d} get requests while {many:d} of six are {sick}")
-def many_of_six(context, budget, many, sick):
+@when("a service with a budget of {budget:d} gets requests while {count:d} of six are {sick}")
+def send_while_several_sick(context, budget, count, sick):
     async def main():
-        async with Six(min_hosts=budget) as r:
-            r.make_sick(sick, SIX[:many])
-            await r.ask_many("idempotent", 300, timeout_s=0.4)
+        async with SixExecutorsRig(min_hosts=budget) as r:
+            r.inject_fault(sick, NAMES[:count])
+            await r.send_requests("idempotent", 300, timeout_s=0.4)
             patients = r.entry.executors.outliers.by_executor.values()
             context.ejected = [p.executor for p in patients if p.state == "ejected"]
             for executor in r.upstreams.by_name.values():
@@ -192,61 +191,63 @@
     asyncio.run(main())
 
 
-@then("executors ejected are at most {most:d}")
+@then("at most {most:d} executors are ejected")
 def check_ejected(context, most):
     assert len(context.ejected) <= most, context.ejected
 
 
-@when("executors have one that is sick, then well")
+@when("one of six executors is sick and then recovers")
 def sick_then_well(context):
-    # All six can be reached and answer at once, well or not. A test process that is held up would
-    # find the whole rack unreachable, silent or slow, eject three, and have to use the sick one.
+    # All six executors are reachable and answer at once. Without long timeouts, a pause of the test
+    # process would make the whole rack seem unreachable, silent or slow; three executors would be
+    # ejected for that and the sick one would have to stay in use.
     waits = {"silent_timeout_s": 15.0, "connect_timeout_s": 15.0}
     times = {"eject_s": 0.3, "slow_start_s": 0.4, **waits}
 
     async def main():
-        async with Six(requests=times, clock=UnstalledClock()) as r:
-            r.make_sick("resetting", ["x1"])
+        async with SixExecutorsRig(requests=times, clock=PauseFreeClock()) as r:
+            r.inject_fault("resetting", ["x1"])
             outliers = r.entry.executors.outliers
             async with asyncio.timeout(120):
                 while outliers.by_executor["x1"].ejections < 2:
-                    await r.ask_many("idempotent", 12)
+                    await r.send_requests("idempotent", 12)
                 runs = len([run for run in r.runs() if run.executor == "x1"])
                 r.upstreams.faults.clear()
                 while outliers.by_executor["x1"].state != "probing":
-                    await r.ask_many("non-idempotent", 12)
-                await r.ask_many("non-idempotent", 48)
-                context.unproven = len([x for x in r.runs() if x.executor == "x1"]) - runs
+                    await r.send_requests("non-idempotent", 12)
+                await r.send_requests("non-idempotent", 48)
+                context.unsafe_runs = len([x for x in r.runs() if x.executor == "x1"]) - runs
                 while outliers.by_executor["x1"].state != "well":
-                    await r.ask_many("idempotent", 12)
+                    await r.send_requests("idempotent", 12)
             context.kinds = [e.kind for e in outliers.timeline.events(executor="x1")]
 
     asyncio.run(main())
 
 
-@then("executors saw it ejected, probing, ejected for longer, probing, returning and well")
+@then("the executor is ejected, probing, ejected for longer, probing, returning and well")
 def check_return(context):
     kinds = [kind.removeprefix("executor.") for kind in context.kinds]
     assert kinds[:3] == ["ejected", "probing", "ejected"], kinds
     assert kinds[-3:] == ["probing", "returning", "well"], kinds
 
 
-@then("executors gave it no non-idempotent request before it had answered a probe")
+@then("the executor gets no non-idempotent request before it has answered a probe")
 def check_probe(context):
-    assert context.unproven == 0, context.unproven
+    assert context.unsafe_runs == 0, context.unsafe_runs
 
 
-@when("executors hear from {source} that one leaves")
+@when("an executor is reported as leaving by {source}")
 def hear_leaving(context, source):
-    # One that leaves closes its port after a time without requests, and is then found unreachable
-    # instead of leaving. A test process that is held up lets that time pass before it has asked.
-    open_on = {"drain_quiet_s": 600.0, "drain_grace_s": 600.0}
-    # A connection or answer that is late by the test's own pause is waited for: at most the 12
-    # requests that are under way at once reach it before the first answer tells of its leaving.
+    # A leaving executor closes its port after a time without requests and is then unreachable,
+    # rather than leaving. A pause of the test process could let that time pass before any request.
+    keep_open = {"drain_quiet_s": 600.0, "drain_grace_s": 600.0}
+    # The timeouts are long enough to wait for answers delayed by a pause of the test process. So
+    # only the 12 concurrent requests, at most, reach the executor before an answer reports that it
+    # is leaving.
     waits = {"silent_timeout_s": 15.0, "connect_timeout_s": 15.0}
 
     async def main():
-        async with Six(executors=open_on, requests=waits) as r:
+        async with SixExecutorsRig(executors=keep_open, requests=waits) as r:
             executors = r.entry.executors
             views = lambda: [v.executor for v in executors.candidates("quotes")]  # noqa: E731
             heard = []
@@ -254,13 +255,13 @@
             info, hosts = executors.workers.by_id["w-x1"], executors.state.hosts_by_name
             if source == "its answer":
                 r.fault("leaving", on="x1")
-                await r.ask_many("idempotent", 60)
+                await r.send_requests("idempotent", 60)
                 assert heard == ["x1"], heard
                 after = r.upstreams.by_name["x1"].show()["after_leaving"]
-                assert len(after) <= 12, "more than what was under way"
+                assert len(after) <= 12, "more than the requests in flight"
             elif source == "a peer":
                 executors.mark_leaving("x1", from_peer=True)
-                assert not heard, "told back to the peers"
+                assert not heard, "sent back to the peers"
             elif source == "the log":
                 hosts["w-x1"] = {"phase": "draining"}
                 executors.state.offset += 1
@@ -269,26 +270,26 @@
             else:
                 info["state"] = "draining"
                 executors.workers.callbacks[0]({"w-x1"})
-            context.left = views()
+            context.while_leaving = views()
             hosts["w-x1"] = {"phase": "in_service"}
             executors.state.offset += 1
             executors.leaving_workers([])
             for state in ("rebooting", "up"):
                 info["state"] = state
                 executors.workers.callbacks[0]({"w-x1"})
-            context.back = views()
+            context.once_up = views()
 
     asyncio.run(main())
 
 
-@then("executors leave it out at once and give it back when it is up again")
+@then("the executor is excluded at once and gets requests again when it is up")
 def check_leaving(context):
-    assert context.left == SIX[1:], context.left
-    assert sorted(context.back) == SIX, context.back
+    assert context.while_leaving == NAMES[1:], context.while_leaving
+    assert sorted(context.once_up) == NAMES, context.once_up
 
 
-def watch(floor=1, racks="aaabbb", on_change=lambda service: None):
-    """Six patients of one service on a clock that stands still."""
+def make_outliers(floor=1, racks="aaabbb", on_change=lambda service: None):
+    """Create outlier detection for six executors of one service, on a clock that stands still."""
     clock = FakeClock()
     outliers = Outliers(
         settings=RequestsSettings(),
@@ -297,21 +298,21 @@
         floor=lambda service: floor,
         on_change=on_change,
     )
-    for name, rack in zip(SIX, racks, strict=True):
+    for name, rack in zip(NAMES, racks, strict=True):
         patient = Patient(executor=name, service="quotes", worker=f"w-{name}", rack=rack)
         outliers.add(patient, slowly=False)
     return outliers
 
 
 def spread_failures(failed, tries):
-    """Signs of which some are failures, evenly spread, the last one a success."""
+    """Return ``tries`` signs, the failures spread evenly and the first one a success."""
     return [HARD if (n + 1) * failed // tries > n * failed // tries else OK for n in range(tries)]
 
 
 @when("executors fail {elsewhere:d} of 100 tries each, and one fails {failed:d} of {tries:d}")
-def fail_shares(context, elsewhere, failed, tries):
-    context.outliers = outliers = watch()
-    for name in SIX[1:]:
+def fail_ratios(context, elsewhere, failed, tries):
+    context.outliers = outliers = make_outliers()
+    for name in NAMES[1:]:
         for sign in reversed(spread_failures(elsewhere, 100)):
             outliers.note(name, sign, 0.01)
     for sign in reversed(spread_failures(failed, tries)):
@@ -320,26 +321,26 @@
     outliers.note("x2", OK, 0.01)
 
 
-def times(text):
-    """The times that a text such as ``19 x no time, 1 x 2 s`` names, None where there is none."""
+def parse_durations(text):
+    """Parse durations such as ``19 x no duration, 1 x 2 s``; ``no duration`` gives None."""
     found = []
     for part in text.split(", "):
         count, _, took = part.partition(" x ")
-        found += [None if took == "no time" else float(took.removesuffix(" s"))] * int(count)
+        found += [None if took == "no duration" else float(took.removesuffix(" s"))] * int(count)
     return found
 
 
-@when("executors have tries of {here} at one of six and {elsewhere} elsewhere")
+@when("one of six executors has tries of {here} and the others have {elsewhere}")
 def timed_tries(context, here, elsewhere):
-    context.outliers = outliers = watch()
-    for name in SIX:
-        for took_s in times(here if name == "x1" else elsewhere):
+    context.outliers = outliers = make_outliers()
+    for name in NAMES:
+        for took_s in parse_durations(here if name == "x1" else elsewhere):
             outliers.note(name, OK, took_s)
     outliers.clock.now += 1.0
-    outliers.note("x2", OK, times(elsewhere)[0])
+    outliers.note("x2", OK, parse_durations(elsewhere)[0])
 
 
-PEERS = {
+PEER_SIGNS = {
     "failed twice each": [Sign(True)] * 2,
     "answered twice each": [OK] * 2,
     "failed once each": [Sign(True)],
@@ -349,44 +350,44 @@
 }
 
 
-@when("executors have five failures in a row at one of six, whose peers have {tried}")
-def five_first(context, tried):
-    context.outliers = outliers = watch()
-    for name in SIX[1:]:
-        for sign in PEERS[tried]:
+@when("one of six executors fails five times in a row and the others have {tried}")
+def fail_five_times(context, tried):
+    context.outliers = outliers = make_outliers()
+    for name in NAMES[1:]:
+        for sign in PEER_SIGNS[tried]:
             outliers.note(name, sign, 0.01)
     for _ in range(5):
         outliers.note("x1", Sign(True), 0.01)
 
 
-@then("executors have that one {state}")
+@then("the first executor is {state} and the others are well")
 def check_one(context, state):
     states = {name: patient.state for name, patient in context.outliers.by_executor.items()}
-    assert states == dict.fromkeys(SIX, "well") | {"x1": state}, states
+    assert states == dict.fromkeys(NAMES, "well") | {"x1": state}, states
 
 
-@when("executors are found at the start, and one more later")
-def found(context):
-    rows = [(name, "127.0.0.1:1", "r") for name in SIX]
+@when("executors are listed at the start, and one more later")
+def list_executors(context):
+    rows = [(name, "127.0.0.1:1", "r") for name in NAMES]
     found, workers = make_workers(rows).by_id, make_workers([])
     settings = Settings(host="e", data_center="d", platform=PlatformSettings(address="127.0.0.1:1"))
     executors = Executors(settings=settings, state=make_state(), workers=workers)
-    for names in (SIX[:5], SIX[5:]):
+    for names in (NAMES[:5], NAMES[5:]):
         workers.by_id.update({f"w-{name}": found[f"w-{name}"] for name in names})
         workers.callbacks[0]({f"w-{name}" for name in names})
     context.weights = {v.executor: v.weight for v in executors.candidates("quotes")}
 
 
-@then("executors found at the start have full shares and the later one the smallest")
+@then("executors of the first listing have full shares and the later one the smallest")
 def check_found(context):
-    assert context.weights == dict.fromkeys(SIX[:5], 1.0) | {"x6": 0.1}, context.weights
+    assert context.weights == dict.fromkeys(NAMES[:5], 1.0) | {"x6": 0.1}, context.weights
 
 
-@when("executors of two workers of a rack can't be reached")
+@when("executors on two workers of a rack can't be reached")
 def rack_fails(context):
-    context.outliers = watch()
+    context.outliers = make_outliers()
     for name in ("x1", "x2", "x3", "x4"):
-        context.outliers.note(name, GONE, 0.5)
+        context.outliers.note(name, UNREACHABLE, 0.5)
 
 
 @then("executors elsewhere in that rack are ejected by one failure, and others aren't")
@@ -395,25 +396,25 @@
     assert states["x3"] == "ejected" and states["x4"] == "well", states
 
 
-@when("executors' signs are drawn")
+@when("executors get random results")
 def draw_signs(context):
-    signs = st.sampled_from([OK, OK, OK, HARD, GONE, Sign(True)])
+    signs = st.sampled_from([OK, OK, OK, HARD, UNREACHABLE, Sign(True)])
     steps = st.lists(
-        st.tuples(st.sampled_from(SIX), signs, st.sampled_from([0.01, 0.01, 0.5]),
+        st.tuples(st.sampled_from(NAMES), signs, st.sampled_from([0.01, 0.01, 0.5]),
                   st.sampled_from([0.0, 0.1, 1.0, 20.0])),
         max_size=120,
     )  # fmt: skip
 
     @bounded(3000 if LONG else 150)
-    @drawn(steps, st.integers(0, 6))
+    @given_random(steps, st.integers(0, 6))
     def example(drawn_steps, floor):
-        outliers = watch(floor)
+        outliers = make_outliers(floor)
         failed = set()
         for name, sign, took_s, pause_s in drawn_steps:
             outliers.clock.now += pause_s
             outliers.note(name, sign, took_s)
             failed |= {name} if sign.failed or took_s > 0.1 else set()
-            weights = {name: outliers.weight(name) for name in SIX}
+            weights = {name: outliers.weight(name) for name in NAMES}
             out = {name for name, weight in weights.items() if weight == 0.0}
             assert 6 - len(out) >= max(floor, 3), weights
             assert out <= failed, "ejected without a failure"
@@ -422,6 +423,6 @@
     example()
 
 
-@then("executors that stay are never fewer than the floor")
+@then("executors that aren't ejected are never fewer than the floor")
 def check_floor(context):
-    """The drawing step has checked it after each sign."""
+    """Do nothing: the preceding step checks it after each result."""
