--- a/features/steps/executors_lines_steps.py
+++ b/features/steps/executors_lines_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the log lines of executors' changes of state."""
+"""Steps for the log lines about executors' changes of state."""
 
 import logging
 
@@ -15,7 +15,7 @@
 
 
 class Lines(logging.Handler):
-    """Keeps the lines that are logged."""
+    """Collects the logged lines."""
 
     def __init__(self):
         super().__init__()
@@ -26,7 +26,7 @@
 
 
 def run_states(clock, settings, timeline):
-    """Start six executors slowly, then let one be ejected and return."""
+    """Start six executors slowly, then eject one and let it return."""
     outliers = Outliers(
         settings=settings,
         clock=clock,
