--- a/mustardgap/blames.py
+++ b/mustardgap/blames.py
@@ -1,51 +1,61 @@
-"""Whose fault a failed attempt is: the job's, or that of a worker that fails everything."""
+"""Attributes failed attempts to the job, or to a worker on which every job fails."""
 
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
 
 from .models import HostState, JobState
 
-# This many jobs must have failed on a worker one after the other before it is avoided, and set
-# aside when as many as PROOFS of them ended well elsewhere.
-SUSPECT_AFTER = 2
-SET_ASIDE_AFTER = 3
-PROOFS = 2
-# A suspect is given a job again after this long, else it would stay under suspicion for ever.
-PROBE_S = 15.0
-# An attempt that nobody can tell the end of is held against the job much later than a failure, as
-# workers go down by themselves; a job that brings each of its workers down ends at last.
-UNKNOWN_FACTOR = 3
-
-
-class Failures(NamedTuple):
-    """The jobs that failed on a worker since one last ended well there, and when one last did."""
+# Number of jobs that must fail on a worker in a row before the worker is avoided.
+SUSPECT_AFTER_JOBS = 2
+# Number of jobs that must fail on a worker in a row before the worker is set aside.
+SET_ASIDE_AFTER_JOBS = 3
+# Number of those jobs that must also have succeeded on other workers before it is set aside.
+SET_ASIDE_AFTER_SUCCESSES = 2
+# After this long a suspect worker gets another job; otherwise it would stay suspect for ever.
+PROBE_AFTER_S = 15.0
+# A job fails after max_attempts times this many attempts that failed or whose outcome is unknown.
+# Unknown outcomes count for less than failures, as workers also go down by themselves, but a job
+# that brings down each of its workers still fails in the end.
+UNKNOWN_OUTCOME_FACTOR = 3
+
+
+class WorkerFailures(NamedTuple):
+    """The jobs that failed on a worker since a job last succeeded there.
+
+    ``successes`` counts those of them that succeeded on another worker, and ``latest_start`` is
+    when the latest of the failed attempts started.
+    """
 
     jobs: frozenset[str]
-    proofs: int
-    latest: float
+    successes: int
+    latest_start: float
 
     @property
     def is_suspect(self) -> bool:
-        """Whether jobs had better go elsewhere."""
-        return len(self.jobs) >= SUSPECT_AFTER
+        """Whether jobs should avoid the worker."""
+        return len(self.jobs) >= SUSPECT_AFTER_JOBS
 
     def may_probe(self, now: float) -> bool:
-        """Whether it is time to see if the suspicion holds."""
-        return not self.is_proven and now - self.latest > PROBE_S
+        """Whether the worker may get a job again to test whether it still fails."""
+        return not self.is_at_fault and now - self.latest_start > PROBE_AFTER_S
 
     @property
-    def is_proven(self) -> bool:
-        """Whether the worker is at fault: what failed there ended well elsewhere."""
-        return len(self.jobs) >= SET_ASIDE_AFTER and self.proofs >= PROOFS
+    def is_at_fault(self) -> bool:
+        """Whether the worker is at fault: jobs that failed there succeeded elsewhere."""
+        return (
+            len(self.jobs) >= SET_ASIDE_AFTER_JOBS and self.successes >= SET_ASIDE_AFTER_SUCCESSES
+        )
 
 
 def failures_by_worker(
     jobs: Iterable[JobState], hosts: Mapping[str, HostState]
-) -> dict[str, Failures]:
-    """Find the workers on which nothing has ended well since some jobs failed there.
+) -> dict[str, WorkerFailures]:
+    """Find the workers on which jobs have failed and none has succeeded since.
 
-    :param jobs: all jobs known, those that have ended too.
-    :param hosts: all hosts; what failed before a host came back into service doesn't count.
+    :param jobs: all known jobs, including ended ones.
+    :param hosts: all hosts by name; failures before a host's last change of phase, such as its
+        return to service, don't count.
+    :return: the failures by worker.
     """
     failed: dict[str, dict[str, float]] = {}
     succeeded: dict[str, float] = {}
@@ -66,39 +76,46 @@
         since = max(host["since"], succeeded.get(worker, 0.0))
         names = frozenset(name for name, at in started_by_job.items() if at >= since)
         if names:
-            latest = max(started_by_job[name] for name in names)
-            found[worker] = Failures(names, len(names & done_elsewhere), latest)
+            latest_start = max(started_by_job[name] for name in names)
+            found[worker] = WorkerFailures(names, len(names & done_elsewhere), latest_start)
     return found
 
 
-class Tries(NamedTuple):
-    """What a job's own attempts say against it; ``total`` counts all that didn't end well."""
+class FailedAttempts(NamedTuple):
+    """The failed attempts of one job.
+
+    ``failed_on`` and ``failed`` leave out attempts on workers that are at fault; ``total`` counts
+    all attempts that failed or whose outcome is unknown.
+    """
 
     failed_on: frozenset[str]
     failed: int
     total: int
 
-    def is_spent(self, max_attempts: int, capable: Collection[str]) -> bool:
-        """Whether the job has had all its tries.
+    def is_exhausted(self, max_attempts: int, capable: Collection[str]) -> bool:
+        """Whether the job has used up its attempts.
 
-        :param max_attempts: how many failures end it, each on a different worker.
-        :param capable: the workers that could run it; when it has failed on all of them, failures
-            on the same worker count too.
+        :param max_attempts: number of failures, each on a different worker, that end the job.
+        :param capable: the workers that could run it; once it has failed on all of them, repeated
+            failures on one worker count too.
         """
-        if self.total >= max_attempts * UNKNOWN_FACTOR:
+        if self.total >= max_attempts * UNKNOWN_OUTCOME_FACTOR:
             return True
         if len(self.failed_on) >= max_attempts:
             return True
         return self.failed >= max_attempts and self.failed_on.issuperset(capable)
 
 
-def tries_of(job: JobState, hosts: Mapping[str, HostState], blamed: Collection[str]) -> Tries:
-    """Count the failures of a job, without those on workers that are at fault themselves.
+def count_failed_attempts(
+    job: JobState, hosts: Mapping[str, HostState], faulty_workers: Collection[str]
+) -> FailedAttempts:
+    """Count the failed attempts of a job, excluding failures on workers that are at fault.
 
     :param job: the job.
-    :param hosts: all hosts.
-    :param blamed: workers that are shown to be at fault. A mere suspicion doesn't count: jobs that
-        fail everywhere would make every worker suspect, and be tried for ever.
+    :param hosts: all hosts by name.
+    :param faulty_workers: workers that are known to be at fault. Suspect ones must not be
+        included: a job that fails everywhere would make every worker suspect and be retried for
+        ever.
     """
     failed_on = []
     total = 0
@@ -106,6 +123,10 @@
         total += attempt["outcome"] in ("failed", "unknown")
         host = hosts.get(attempt["worker"])
         is_set_aside = host is not None and host["phase"] == "set_aside"
-        if attempt["outcome"] == "failed" and not is_set_aside and attempt["worker"] not in blamed:
+        if (
+            attempt["outcome"] == "failed"
+            and not is_set_aside
+            and attempt["worker"] not in faulty_workers
+        ):
             failed_on.append(attempt["worker"])
-    return Tries(frozenset(failed_on), len(failed_on), total)
+    return FailedAttempts(frozenset(failed_on), len(failed_on), total)
--- a/mustardgap/candidates.py
+++ b/mustardgap/candidates.py
@@ -1,4 +1,4 @@
-"""Which host to take next: from the spare pool, or from a group that can do without it."""
+"""Selects the next host for a group: from the spare pool or from another group's surplus."""
 
 import heapq
 from collections.abc import Callable, Collection, Iterator
@@ -8,21 +8,22 @@
 from .plans import Draft
 from .states import domain_of
 
-# Exchanges are tried with this many other services, so that a shortage that can't be mended costs
-# little each time.
-MOST_EXCHANGES = 8
+# An exchange is tried with at most this many other groups, which limits the cost of each plan
+# while a shortage can't be resolved.
+MAX_EXCHANGE_GROUPS = 8
 
-Wanted = Callable[[HostState], bool]
+HostFilter = Callable[[HostState], bool]
 
 
 class Candidates:
-    """The free hosts in the order in which a group should take them.
+    """Ranks the free hosts for assignment to a group.
 
-    A rack ranks by how few of the group's hosts it and its data center hold, then by how many free
-    hosts it has, so that the racks fill evenly and later groups still find distinct ones. Ranks
-    only fall while hosts are taken, so a rack is ranked again when it comes up.
+    Racks with the fewest hosts of the group, in the rack and in its data center, come first, then
+    those with the most free hosts. So racks fill evenly, and later groups still find hosts in
+    different racks. Assigning hosts only makes a rack's rank worse, so it suffices to update a rack
+    when it reaches the top of its heap.
 
-    :param fleet: the index.
+    :param fleet: the index of hosts and groups.
     :param group: the group that needs hosts.
     """
 
@@ -37,16 +38,19 @@
         for racks in self._racks_by_data_center.values():
             heapq.heapify(racks)
 
-    def take(self) -> HostState | None:
-        """Return the best free host; the caller must assign it before it calls again."""
+    def best_host(self) -> HostState | None:
+        """Return the best free host, if any; the caller must assign it before the next call."""
         best: tuple[tuple[int, int, int, int], str] | None = None
         for data_center, racks in self._racks_by_data_center.items():
             self._refresh(racks)
             if racks:
                 size, free, rack = racks[0]
-                held = self._group.size_by_data_center[data_center]
-                lost = self._group.requirement.survive == "data_center"
-                rank = ((held if lost else size, size, held, free), rack)
+                in_data_center = self._group.size_by_data_center[data_center]
+                must_survive = self._group.requirement.survive == "data_center"
+                rank = (
+                    (in_data_center if must_survive else size, size, in_data_center, free),
+                    rack,
+                )
                 best = rank if best is None else min(best, rank)
         return None if best is None else self._pick(best[1])
 
@@ -71,14 +75,14 @@
 
 
 def surplus_hosts(draft: Draft, group: Group) -> Iterator[HostState]:
-    """The hosts that a group can lose, those in its fullest failure domains first."""
+    """Yield the hosts that a group can lose, those in its largest failure domains first."""
     fleet = draft.fleet
     if not draft.is_settled(group):
         return
     ids = group.largest_domain_ids()
     if group.margin > 0:
-        top = set(ids)
-        ids += [h for h in group.host_ids() if h not in top]
+        in_largest_domains = set(ids)
+        ids += [h for h in group.host_ids() if h not in in_largest_domains]
     for host_id in ids:
         host = fleet.hosts_by_id[host_id]
         if host_id in draft.touched or draft.is_stuck(host):
@@ -87,65 +91,68 @@
             yield host
 
 
-def gains(group: Group, host: HostState) -> bool:
-    """Whether a host would add to a group's margin, or to a pool that is below its size."""
+def improves_group(group: Group, host: HostState) -> bool:
+    """Whether a host would raise a group's margin, or only a pool's minimum is missing."""
     return adds_margin(group, host) or group.margin >= 0
 
 
 def adds_margin(group: Group, host: HostState) -> bool:
-    """Whether a host would add to a group's margin."""
+    """Whether a host would raise a group's margin."""
     return group.margin_with(host) > group.margin
 
 
 def least_urgent_first(group: Group) -> tuple[int, str]:
-    """Sort groups by falling urgency number."""
+    """Return a sort key that puts the least urgent groups, of the highest number, first."""
     return -group.requirement.urgency, group.requirement.name
 
 
-def find_donation(
-    draft: Draft, group: Group, wanted: Wanted, held_names: Collection[str] = ()
+def find_donor_host(
+    draft: Draft, group: Group, is_useful: HostFilter, excluded_names: Collection[str] = ()
 ) -> HostState | None:
-    """Find the host that another group can best do without, the least urgent group first.
+    """Find a surplus host of another group, searching the least urgent groups first.
 
-    :param wanted: whether a host is of use to the group.
-    :param held_names: groups that keep their surplus for now.
+    :param is_useful: whether a host would help the group.
+    :param excluded_names: names of groups that keep their surplus for now.
     """
     fleet = draft.fleet
-    donors = [fleet.groups_by_name[n] for n in fleet.surplus_group_names if n not in held_names]
+    donors = [fleet.groups_by_name[n] for n in fleet.surplus_group_names if n not in excluded_names]
     for donor in sorted(donors, key=least_urgent_first):
         if donor is group:
             continue
-        hosts = (host for host in surplus_hosts(draft, donor) if wanted(host))
+        hosts = (host for host in surplus_hosts(draft, donor) if is_useful(host))
         best = min(hosts, key=lambda host: crowding(group, host), default=None)
         if best is not None:
             return best
     return None
 
 
-def exchange(draft: Draft, group: Group, wanted: Wanted) -> bool:
-    """Give a free host, of no use to this group, to another one that has a host of use.
+def exchange(draft: Draft, group: Group, is_useful: HostFilter) -> bool:
+    """Assign a free host that can't help this group to another group that holds one that can.
 
-    The other one's host is then surplus and comes over by the next plans.
+    The other group's host then becomes surplus, and later plans move it to this group.
+
+    :param is_useful: whether a host would help the group.
+    :return: whether a free host was assigned.
     """
     donors = [g for g in draft.fleet.groups_by_name.values() if g is not group]
-    for donor in sorted(donors, key=least_urgent_first)[:MOST_EXCHANGES]:
+    for donor in sorted(donors, key=least_urgent_first)[:MAX_EXCHANGE_GROUPS]:
         if donor.is_full or donor.is_short:
             continue
-        free = Candidates(fleet=draft.fleet, group=donor).take()
+        free = Candidates(fleet=draft.fleet, group=donor).best_host()
         if free is None:
             return False
         count = len(draft.steps)
         name = group.requirement.name
         draft.assign(free, donor.pool_for_next_host(), f"so that a host of use can go to {name}")
         hosts = (draft.fleet.hosts_by_id[h] for h in donor.host_ids())
-        if any(donor.can_lose(host) and wanted(host) for host in hosts):
+        if any(donor.can_lose(host) and is_useful(host) for host in hosts):
             return True
         draft.undo_after(count)
     return False
 
 
 def crowding(group: Group, host: HostState) -> tuple[int, int, str]:
-    """Sort hosts by how many of the group's stand in their domain and rack already."""
+    """Return a sort key that puts hosts first whose domain and rack hold few of the group."""
     domain = domain_of(host["facts"], group.requirement.survive)
     rack = domain_of(host["facts"], "rack")
     return len(group.ids_by_domain.get(domain, ())), group.size_by_rack[rack], host["host"]
--- a/mustardgap/executors.py
+++ b/mustardgap/executors.py
@@ -1,4 +1,4 @@
-"""Which executors of a service may be chosen, and with which share of the work."""
+"""Selects the executors of a service that may get requests, and weights them."""
 
 from collections.abc import Callable, Collection
 from typing import Any, NamedTuple, Protocol
@@ -11,19 +11,21 @@
 from .timers import Clock, Timers
 from .tries import TryResult
 
-# How long a word that an executor leaves is believed; after that it is probed again.
+# An executor that is reported as leaving gets no requests for this long; then it is probed again.
 LEAVING_TTL_S = 120.0
-TIMED_REFRESH_S = 0.25
-# A try says nothing of how long an executor takes when this process was held up for more than this
-# share of it: what is left is still too short to be called slow, at three times the usual.
-MAX_HELD_UP_SHARE = 0.25
-# Others may have closed a connection to a process that was silent for longer than this, in seconds:
-# the least of the time-outs that peers and executors have for idle connections.
-LONG_HOLD_UP_S = 2.0
+# How long a candidate list stays cached while it can change by the passing of time alone.
+CANDIDATE_REFRESH_S = 0.25
+# A try's duration is ignored if this process was paused for more than this share of it. Shorter
+# pauses lengthen the duration by a third at most, well below the three times the peers' median at
+# which an executor counts as slow.
+MAX_PROCESS_PAUSE_RATIO = 0.25
+# After a pause of this process longer than this, peers and executors may have closed its
+# connections: it is the shortest of their idle time-outs, in seconds.
+LONG_PROCESS_PAUSE_S = 2.0
 
 
 class ExecutorView(NamedTuple):
-    """An executor that may be chosen; ``weight`` is 1, or less while it starts slowly."""
+    """An executor that may get requests; ``weight`` is 1, or less during a slow start."""
 
     executor: str
     address: str
@@ -39,34 +41,34 @@
     by_id: dict[str, WorkerInfo]
 
     def on_change(self, callback: Callable[[set[str]], None]) -> None:
-        """Call back with the workers that changed."""
+        """Register a callback that gets the ids of the workers that changed."""
 
 
 class HasHosts(Protocol):
-    """The part of the folded state that is read here."""
+    """The part of the folded state that this module reads."""
 
     offset: int
     hosts_by_name: dict[str, Any]
     declarations_by_key: dict[str, Any]
 
 
-class _Listed(NamedTuple):
-    """What was last worked out for a service, and what it followed from."""
+class _CachedCandidates(NamedTuple):
+    """The cached candidates of a service, with the state that they were computed from."""
 
     offset: int
     version: int
-    until: float
+    expires_at: float
     views: list[ExecutorView]
 
 
 class Executors:
-    """The executors of every service.
+    """Tracks the executors of every service and their health.
 
     :param settings: the daemon's settings.
     :param state: the folded state.
     :param workers: the polled view of workers.
-    :param timeline: where changes of health are noted.
-    :param timers: tell for how long this process was held up; without them it never was.
+    :param timeline: records changes of health.
+    :param timers: measure the pauses of this process; without them, none are assumed.
     :param clock: the clocks to read.
     """
 
@@ -89,83 +91,84 @@
             settings=settings.requests,
             clock=self.clock,
             timeline=timeline or Timeline(member=settings.host),
-            floor=self._floor,
-            on_change=self._forget,
+            floor=self._min_hosts,
+            on_change=self._invalidate,
         )
         self._views_by_service: dict[str, dict[str, ExecutorView]] = {}
         self._services_by_worker: dict[str, list[tuple[str, str]]] = {}
-        self._listed: dict[str, _Listed] = {}
+        self._candidate_cache: dict[str, _CachedCandidates] = {}
         self._version = 0
         self._leaving_until: dict[str, float] = {}
         self._leaving_workers: frozenset[str] = frozenset()
-        self._callbacks: list[Callable[[str], None]] = []
-        self._is_first = True
+        self._leaving_callbacks: list[Callable[[str], None]] = []
+        self._is_first_listing = True
         self._update(set(workers.by_id))
         workers.on_change(self._update)
 
     def candidates(self, service: str) -> list[ExecutorView]:
-        """List the executors of a service that may be chosen now.
+        """List the executors of a service that may get requests now.
 
         :param service: the service.
         :rtype: list
         """
         now = self.clock.monotonic()
-        listed = self._listed.get(service)
+        cached = self._candidate_cache.get(service)
         if (
-            listed is None
-            or listed.version != self._version
-            or listed.offset != self.state.offset
-            or now >= listed.until
+            cached is None
+            or cached.version != self._version
+            or cached.offset != self.state.offset
+            or now >= cached.expires_at
         ):
-            listed = self._listed[service] = self._list(service, now)
-        return listed.views
+            cached = self._candidate_cache[service] = self._find_candidates(service, now)
+        return cached.views
 
     def report(self, executor: str, result: TryResult, took_s: float = 0.0) -> None:
-        """Take in how a try went.
+        """Update an executor's health with the result of a try.
 
         :param executor: the executor's id.
         :param result: the result of the try.
-        :param took_s: seconds it took.
+        :param took_s: duration of the try in seconds.
         """
         sign = sign_of(result)
-        # A process that was held up finds, when it runs again, that its tries took too long or
-        # missed their time. Blamed for that, healthy executors were ejected, and the sick one had
-        # to stay as the last that may: of 600 requests it got up to 297, where 40 are enough. What
-        # was seen, a refusal or an answer, still counts; what only the time says doesn't.
-        held_up_s = self._held_up_s(took_s)
-        by_own_pause = held_up_s > took_s * MAX_HELD_UP_SHARE
+        # After a pause of this process, its tries seem slow or timed out. If that counted against
+        # the executors, healthy ones were ejected, and the sick one had to stay in use because
+        # ejection must leave a minimum of executors: it got up to 297 of 600 requests instead of
+        # 40. What was observed, such as a refusal or an answer, still counts; what follows from
+        # time alone doesn't.
+        process_pause_s = self._process_pause_s(took_s)
+        by_own_pause = process_pause_s > took_s * MAX_PROCESS_PAUSE_RATIO
         if (
             sign is None
             or (sign.by_time and by_own_pause)
-            or (sign.failed and held_up_s >= LONG_HOLD_UP_S)
+            or (sign.failed and process_pause_s >= LONG_PROCESS_PAUSE_S)
         ):
             self.outliers.skip(executor)
         else:
             self.outliers.note(executor, sign, None if by_own_pause else took_s)
 
-    def _held_up_s(self, took_s: float) -> float:
+    def _process_pause_s(self, took_s: float) -> float:
         if self.timers is None:
             return 0.0
         return self.timers.held_up_s(self.clock.monotonic() - took_s)
 
     def begin(self, executor: str, *, idempotent: bool) -> bool:
-        """Ask whether a request may go to an executor whose slot was got.
+        """Check whether a request that holds a slot of an executor may be sent to it.
 
         :param executor: the executor's id.
         :param idempotent: whether the request may be repeated.
-        :return: False when another executor should be taken, if there is one.
+        :return: False if another executor should be used, if there is one.
         """
         return self.outliers.begin(executor, idempotent=idempotent)
 
     def skip(self, executor: str) -> None:
-        """Take in that a try was given up because its caller had gone."""
+        """Note that a try was abandoned because its caller disconnected."""
         self.outliers.skip(executor)
 
-    def leaving(self, executor: str, *, told: bool = False) -> None:
-        """Choose this executor no more: it is about to leave.
+    def mark_leaving(self, executor: str, *, from_peer: bool = False) -> None:
+        """Stop sending requests to an executor that is about to leave.
 
         :param executor: the executor's id.
-        :param told: whether a peer said so; then peers aren't told again.
+        :param from_peer: whether a peer reported it; then it isn't sent to the peers again.
         """
         now = self.clock.monotonic()
         is_news = self._leaving_until.get(executor, 0.0) <= now
@@ -174,37 +177,37 @@
             return
         self._version += 1
         self.outliers.timeline.add(
-            "executor.leaving", cause="peer" if told else "", executor=executor
+            "executor.leaving", cause="peer" if from_peer else "", executor=executor
         )
-        if not told:
-            for callback in self._callbacks:
+        if not from_peer:
+            for callback in self._leaving_callbacks:
                 callback(executor)
 
     def on_leaving(self, callback: Callable[[str], None]) -> None:
-        """Call back with each executor that is found to be leaving here, for the peers."""
-        self._callbacks.append(callback)
+        """Register a callback for executors that this host finds leaving, to inform the peers."""
+        self._leaving_callbacks.append(callback)
 
     def leaving_workers(self, workers: Collection[str]) -> None:
-        """Choose no executor on these workers: the platform's list shows them as leaving."""
+        """Exclude the executors of workers that the platform's host list shows as leaving."""
         if self._leaving_workers != frozenset(workers):
             self._leaving_workers = frozenset(workers)
             self._version += 1
 
-    def _list(self, service: str, now: float) -> _Listed:
+    def _find_candidates(self, service: str, now: float) -> _CachedCandidates:
         views = []
         for view in self._views_by_service.get(service, {}).values():
-            if not self._serves(view, now):
+            if not self._is_eligible(view, now):
                 continue
             weight = self.outliers.weight(view.executor)
             if weight > 0.0:
                 views.append(view._replace(weight=weight))
-        until = now + TIMED_REFRESH_S if self._changes_by_time(service) else float("inf")
-        return _Listed(self.state.offset, self._version, until, views)
+        expires_at = now + CANDIDATE_REFRESH_S if self._is_time_dependent(service) else float("inf")
+        return _CachedCandidates(self.state.offset, self._version, expires_at, views)
 
-    def _changes_by_time(self, service: str) -> bool:
+    def _is_time_dependent(self, service: str) -> bool:
         return bool(self._leaving_until) or not self.outliers.settled(service)
 
-    def _serves(self, view: ExecutorView, now: float) -> bool:
+    def _is_eligible(self, view: ExecutorView, now: float) -> bool:
         host = self.state.hosts_by_name.get(view.worker)
         if host is not None and host["phase"] != "in_service":
             return False
@@ -219,36 +222,37 @@
         return True
 
     def _update(self, workers: set[str]) -> None:
-        """Take in the workers that changed."""
+        """Update the executors of the workers that changed."""
         for worker in sorted(workers):
             self._update_worker(worker)
-        self._is_first = self._is_first and not self.outliers.by_executor
+        self._is_first_listing = self._is_first_listing and not self.outliers.by_executor
         self._version += 1
 
     def _update_worker(self, worker: str) -> None:
         info = self.workers.by_id.get(worker)
-        views = _views(worker, info) if info is not None else {}
+        views = _executor_views(worker, info) if info is not None else {}
         for service, executor in self._services_by_worker.pop(worker, []):
             if executor not in views or views[executor][0] != service:
-                self._drop(service, executor)
+                self._remove_executor(service, executor)
         for executor, (service, view) in views.items():
             self._views_by_service.setdefault(service, {})[executor] = view
             if executor not in self.outliers.by_executor:
                 patient = Patient(executor=executor, service=service, worker=worker, rack=view.rack)
-                # At the start all are new, and nobody could take what they don't get.
-                self.outliers.add(patient, slowly=not self._is_first)
+                # In the first listing all executors are new, so no others could take the share of
+                # the work that a slow start withholds from them.
+                self.outliers.add(patient, slowly=not self._is_first_listing)
         if views:
             self._services_by_worker[worker] = [(s, e) for e, (s, _) in views.items()]
 
-    def _drop(self, service: str, executor: str) -> None:
+    def _remove_executor(self, service: str, executor: str) -> None:
         self._views_by_service[service].pop(executor, None)
         self.outliers.remove(executor)
         self._leaving_until.pop(executor, None)
 
-    def _forget(self, service: str) -> None:
-        self._listed.pop(service, None)
+    def _invalidate(self, service: str) -> None:
+        self._candidate_cache.pop(service, None)
 
-    def _floor(self, service: str) -> int:
+    def _min_hosts(self, service: str) -> int:
         declaration = self.state.declarations_by_key.get(f"service/{service}")
         if declaration is None:
             return 0
@@ -258,8 +262,8 @@
         return int(profile.value["availability"]["min_hosts"])
 
 
-def _views(worker: str, info: WorkerInfo) -> dict[str, tuple[str, ExecutorView]]:
-    """The executors of a worker that is up, by id, each with its service."""
+def _executor_views(worker: str, info: WorkerInfo) -> dict[str, tuple[str, ExecutorView]]:
+    """Return the executors of a worker by id, each with its service; none unless it is up."""
     if info["state"] != "up":
         return {}
     return {
--- a/mustardgap/requirements.py
+++ b/mustardgap/requirements.py
@@ -1,4 +1,4 @@
-"""What each service and job pool needs, worked out from the declarations alone."""
+"""Derives the capacity requirements of services and job pools from the declarations."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -16,21 +16,21 @@
     spare_hosts=0,
 )
 
-Declared = Mapping[str, Declaration | dict[str, Any]]
+Declarations = Mapping[str, Declaration | dict[str, Any]]
 
 
 class PoolRange(NamedTuple):
-    """The fewest and the most hosts of one pool."""
+    """The minimum and maximum number of hosts in one pool."""
 
     min_hosts: int
     max_hosts: int
 
 
 class Requirement(NamedTuple):
-    """What one service, or one job pool, needs.
+    """The capacity requirement of one service or job pool.
 
-    ``min_hosts`` must be left when the largest failure domain of kind ``survive`` is lost, and
-    ``max_hosts`` is the most it may hold over all its pools.
+    ``min_hosts`` hosts must remain after the loss of the largest failure domain of kind
+    ``survive``. ``max_hosts`` limits the number of hosts in all its pools together.
     """
 
     name: str
@@ -44,19 +44,22 @@
 
     @property
     def floor(self) -> int:
-        """The sum of the pools' own least sizes."""
+        """The sum of the pools' minimum sizes."""
         return sum(p.min_hosts for p in self.pools.values())
 
 
 def value_of(declaration: Declaration | dict[str, Any]) -> dict[str, Any]:
-    """Return the value of a declaration, or of a plain one that isn't on the log yet."""
+    """Return the value of a declaration; one that isn't on the log yet is a plain dict."""
     return declaration.value if isinstance(declaration, Declaration) else declaration
 
 
-def read_requirements(declarations_by_key: Declared) -> dict[str, Requirement]:
-    """Work out the requirements by name: a service's name, or ``pool/NAME`` for a job pool.
+def read_requirements(declarations_by_key: Declarations) -> dict[str, Requirement]:
+    """Derive the requirements from the declarations.
 
-    A service without a pool, or whose profile is missing, has none.
+    A service that has no pool, or whose declaration or profile is missing, has no requirement.
+
+    :param declarations_by_key: the declarations.
+    :return: the requirements by name: a service's name, or ``pool/NAME`` for a job pool.
     """
     pools_by_service: dict[str, dict[str, PoolRange]] = {}
     by_name: dict[str, Requirement] = {}
@@ -69,23 +72,23 @@
         if pool["service"]:
             pools_by_service.setdefault(pool["service"], {})[name] = size
         else:
-            by_name[key] = _of_job_pool(key, name, size)
+            by_name[key] = _job_pool_requirement(key, name, size)
     for service, pools in pools_by_service.items():
-        requirement = _of_service(service, pools, declarations_by_key)
+        requirement = _service_requirement(service, pools, declarations_by_key)
         if requirement is not None:
             by_name[service] = requirement
     return by_name
 
 
-def read_policy(declarations_by_key: Declared) -> Policy:
-    """Return the first policy by name, or the default one."""
+def read_policy(declarations_by_key: Declarations) -> Policy:
+    """Return the policy whose name sorts first, or the default policy if there is none."""
     keys = sorted(key for key in declarations_by_key if key.startswith("policy/"))
     if not keys:
         return DEFAULT_POLICY
     return Policy(**value_of(declarations_by_key[keys[0]]))  # type: ignore[typeddict-item]
 
 
-def _of_job_pool(key: str, name: str, size: PoolRange) -> Requirement:
+def _job_pool_requirement(key: str, name: str, size: PoolRange) -> Requirement:
     return Requirement(
         name=key,
         service="",
@@ -98,23 +101,25 @@
     )
 
 
-def _of_service(
-    service: str, pools: dict[str, PoolRange], declarations_by_key: Declared
+def _service_requirement(
+    service: str, pools: dict[str, PoolRange], declarations_by_key: Declarations
 ) -> Requirement | None:
-    declared = declarations_by_key.get(f"service/{service}")
-    if declared is None:
+    service_declaration = declarations_by_key.get(f"service/{service}")
+    if service_declaration is None:
         return None
-    chosen = declarations_by_key.get(f"profile/{value_of(declared)['profile']}")
-    if chosen is None:
+    profile_declaration = declarations_by_key.get(
+        f"profile/{value_of(service_declaration)['profile']}"
+    )
+    if profile_declaration is None:
         return None
-    profile = value_of(chosen)
-    room = sum(p.max_hosts for p in pools.values())
+    profile = value_of(profile_declaration)
+    pool_max_hosts = sum(p.max_hosts for p in pools.values())
     return Requirement(
         name=service,
         service=service,
         min_hosts=profile["availability"]["min_hosts"],
         survive=profile["availability"]["survive"],
-        max_hosts=min(profile["room"]["max_hosts"], room),
+        max_hosts=min(profile["room"]["max_hosts"], pool_max_hosts),
         urgency=profile["urgency"],
         drain_s=profile["disruption"]["drain_s"],
         pools=pools,
