--- a/features/crashes.feature
+++ b/features/crashes.feature
@@ -65,7 +65,7 @@
     Guards against failing a sound job for a faulty rack, a network partition or a power failure.
 
     Given owners on a fake platform
-    When 8 jobs of two steps are handed in under the trouble "<fault>", <times> times in a row
+    When 8 jobs of two steps are submitted, with the fault "<fault>" <times> times in a row
     Then all jobs have ended as completed
     And no promise was broken
 
--- a/features/steps/capacities_steps.py
+++ b/features/steps/capacities_steps.py
@@ -4,7 +4,7 @@
 
 from behave import then, when
 
-from features.support.owner_jobs import START_S, hand_in, job_id_of
+from features.support.owner_jobs import START_S, job_id_of, run_jobs
 from mustardgap.executor_links import MAX_STARTS_PER_EXECUTOR
 from mustardgap.pool_demands import FILL_SHARE, Forecast, PoolDemand
 from mustardgap.pool_views import ExecutorView, PoolView
@@ -24,7 +24,7 @@
     async def scene(world):
         await asyncio.sleep(START_S)
         spec = TWO_STEPS._replace(steps=(STEP._replace(width=6), *TWO_STEPS.steps[1:]))
-        work = asyncio.ensure_future(hand_in(world, context.states, count, 0.3, spec))
+        work = asyncio.ensure_future(run_jobs(world, context.states, count, 0.3, spec))
         for _ in range(times):
             await asyncio.sleep(0.9)
             await BY_NAME[name](world)
--- a/features/steps/entries_steps.py
+++ b/features/steps/entries_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from features.support.owner_jobs import START_S, hand_in, job_id_of
+from features.support.owner_jobs import START_S, job_id_of, run_jobs
 from mustardgap.boards import ExecutorBoard
 from mustardgap.events import EventLog
 from mustardgap.fleet_moves import LEARNED_KEY
@@ -194,7 +194,7 @@
 
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, context.states, 2, pause_s=0))
+        work = asyncio.ensure_future(run_jobs(world, context.states, 2, pause_s=0))
         await asyncio.sleep(0.3)
         world.beating = False
         for executor in world.fleet.by_address.values():
@@ -279,7 +279,7 @@
 def row_unreadable(context, seconds):
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, context.states, 8))
+        work = asyncio.ensure_future(run_jobs(world, context.states, 8))
         await asyncio.sleep(0.5)
         world.machines.unreadable.update(["m1", "m2"])
         await asyncio.sleep(seconds)
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -5,7 +5,7 @@
 
 from behave import then, when
 
-from features.support.owner_jobs import START_S, hand_in, job_id_of
+from features.support.owner_jobs import START_S, job_id_of, run_jobs
 from mustardgap.events import EventLog
 from mustardgap.fleet_orders import RECENT_KEY, FleetOrders
 from mustardgap.fleet_states import Closing, FleetState, Times
@@ -57,7 +57,7 @@
         await until(lambda: world.machines.repeats)
         world.kill(world.owner())
         wide = TWO_STEPS._replace(steps=(TWO_STEPS.steps[0]._replace(width=24, cpu=900),))
-        await hand_in(world, context.states, 3, spec=wide)
+        await run_jobs(world, context.states, 3, spec=wide)
         await asyncio.sleep(3)
         context.ordered = world.machines.repeats + len(places[first].waves_done & {number})
         listed = {place.executor.entry.executor for place in places.values() if place.executor}
@@ -92,7 +92,7 @@
 def told_wrongly(context):
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, context.states, 2))
+        work = asyncio.ensure_future(run_jobs(world, context.states, 2))
         await until(lambda: any(e.runs for e in world.fleet.by_address.values()))
         [first, *_] = [e.entry.executor for e in world.fleet.by_address.values() if e.runs]
         await asyncio.sleep(0.1)
--- a/features/steps/owners_parts_steps.py
+++ b/features/steps/owners_parts_steps.py
@@ -1,11 +1,11 @@
-"""Steps of an owner's parts that end by a cancellation nobody asked for, on virtual time."""
+"""Steps in which a part of an owner is cancelled or fails unexpectedly, in virtual time."""
 
 import asyncio
 
 from behave import then, when
 
 from features.support.cancelled_parts import EndedOnce, cancelled, failed
-from features.support.owner_jobs import START_S, hand_in, job_id_of
+from features.support.owner_jobs import START_S, job_id_of, run_jobs
 from mustardgap.dispatchers import TICK_S
 from mustardgap.pacing import HIGH_TAIL_RATIO
 from mustardgap.ports import NoAnswer
@@ -17,10 +17,10 @@
 from tools.owner_troubles import LASTING, publish_wave
 from tools.owner_worlds import play
 
-# Long enough for a shard to be given up, dealt anew and read, and for its jobs to end.
-SETTLED_S = 10.0
-# By then a wave has begun with its machines.
-WAVE_S = 25.0
+# Long enough for a shard to be given up, reassigned and read, and for its jobs to end.
+RECOVERY_S = 10.0
+# By then a wave has sent its first stop.
+WAVE_START_S = 25.0
 
 
 def _cancel_appends(owned):
@@ -48,7 +48,12 @@
 
 
 def end_calls(owned, name, ends):
-    """Have one call of a kind to each executor end in a way."""
+    """Make one call to each executor end differently.
+
+    :param name: the method of the executor's port.
+    :param ends: what that call does.
+    :return: the wrapped ports.
+    """
     links = list(owned.roster.links_by_executor.values())
     for link in links:
         link._port = EndedOnce(link._port, name, ends=ends)
@@ -64,142 +69,142 @@
 }
 
 
-def _lines(world):
+def _log_lines(world):
     return [line for d in world.daemons_by_address.values() for line in d.events.kept]
 
 
-@when("{count:d} jobs are handed in, and what the owner's {part} await is cancelled")
-def part_is_cancelled(context, count, part):
+@when("{count:d} jobs are submitted, and what the owner's {part} await is cancelled")
+def cancel_part(context, count, part):
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, context.states, count))
+        work = asyncio.ensure_future(run_jobs(world, context.states, count))
         await asyncio.sleep(0.5)
-        ended = CANCEL_BY_PART[part](world.dispatcher())
+        wrappers = CANCEL_BY_PART[part](world.dispatcher())
         await work
-        await asyncio.sleep(SETTLED_S)
-        context.ended = sum(one.count for one in ended)
-        context.lines = _lines(world)
+        await asyncio.sleep(RECOVERY_S)
+        context.interrupted_calls = sum(wrapper.count for wrapper in wrappers)
+        context.lines = _log_lines(world)
 
     context.world = play(scene, advised=part == "tickets", **context.options)
 
 
-ENDS_BY_WORDS = {"is cancelled": cancelled, "fails": failed}
+OUTCOME_BY_NAME = {"is cancelled": cancelled, "fails": failed}
 
 
-@when("{count:d} jobs are handed in, and one start on each executor {ends}")
-def starts_end(context, count, ends):
+@when("{count:d} jobs are submitted, and one start on each executor {ends}")
+def end_starts(context, count, ends):
     async def scene(world):
         await asyncio.sleep(START_S)
-        ended = end_calls(world.dispatcher(), "start", ENDS_BY_WORDS[ends])
-        await hand_in(world, context.states, count)
-        context.ended = sum(one.count for one in ended)
-        context.lines = _lines(world)
+        wrappers = end_calls(world.dispatcher(), "start", OUTCOME_BY_NAME[ends])
+        await run_jobs(world, context.states, count)
+        context.interrupted_calls = sum(wrapper.count for wrapper in wrappers)
+        context.lines = _log_lines(world)
 
     context.world = play(scene, **context.options)
 
 
 @when("a lasting job is cancelled, and one stop on each executor {ends}")
-def stops_end(context, ends):
+def end_stops(context, ends):
     async def scene(world):
         await asyncio.sleep(START_S)
         assert await world.submit_until_accepted(job_id_of(1), LASTING)
         await asyncio.sleep(2)
-        ended = end_calls(world.dispatcher(), "stop", ENDS_BY_WORDS[ends])
+        wrappers = end_calls(world.dispatcher(), "stop", OUTCOME_BY_NAME[ends])
         assert await world.cancel(job_id_of(1), world.owner()) == 200
         context.cancelled_at = world.loop.time()
         await asyncio.sleep(20)
-        context.ended = sum(one.count for one in ended)
-        context.lines = _lines(world)
+        context.interrupted_calls = sum(wrapper.count for wrapper in wrappers)
+        context.lines = _log_lines(world)
 
     context.world = play(scene, **context.options)
 
 
-@when("a former owner's run is found that nobody wants, and the stop of it {ends}")
-def stray_stop_ends(context, ends):
+@when("a stray run of a previous owner is found, and its stop {ends}")
+def end_stray_stop(context, ends):
     async def scene(world):
         await asyncio.sleep(START_S)
         dispatcher = world.dispatcher()
-        ended = end_calls(dispatcher, "stop", ENDS_BY_WORDS[ends])
+        wrappers = end_calls(dispatcher, "stop", OUTCOME_BY_NAME[ends])
         executor = next(e for e in world.fleet.by_address.values() if e.entry.service == SERVICE)
-        unwanted = TaskId(job_id_of(1), 0, 0, 0)
-        world.asked_by_job[unwanted.job] = Asked(LASTING, [], [])
-        world.cancelling.add(unwanted.job)
+        stray = TaskId(job_id_of(1), 0, 0, 0)
+        world.asked_by_job[stray.job] = Asked(LASTING, [], [])
+        world.cancelling.add(stray.job)
         until_ms = executor.clock_ms() + 60_000
-        executor.start(unwanted, 1, "lasting", until_ms, dispatcher.epoch)
+        executor.start(stray, 1, "lasting", until_ms, dispatcher.epoch)
         context.cancelled_at = world.loop.time()
         await asyncio.sleep(20)
-        context.ended = sum(one.count for one in ended)
-        context.lines = _lines(world)
+        context.interrupted_calls = sum(wrapper.count for wrapper in wrappers)
+        context.lines = _log_lines(world)
 
     context.world = play(scene, **context.options)
 
 
-@when("a running task is slowed to nothing, and the order {ends}")
-def pace_ends(context, ends):
+@when("a running task is suspended, and the order {ends}")
+def end_pace(context, ends):
     async def scene(world):
         await asyncio.sleep(START_S)
         assert await world.submit_until_accepted(job_id_of(1), LASTING)
         await asyncio.sleep(2)
         dispatcher = world.dispatcher()
         run = next(iter(dispatcher.running()))
-        run.link._port = EndedOnce(run.link._port, "pace", ends=ENDS_BY_WORDS[ends])
+        run.link._port = EndedOnce(run.link._port, "pace", ends=OUTCOME_BY_NAME[ends])
         run.link.pace(run, 0)
         await asyncio.sleep(1)
         for _ in range(2):
             dispatcher.pacing._adjust(run.link, [run], HIGH_TAIL_RATIO + 0.1)
             await asyncio.sleep(1)
-        context.ended = run.link._port.count
+        context.interrupted_calls = run.link._port.count
         context.calls = run.link._port.calls
-        context.lines = _lines(world)
+        context.lines = _log_lines(world)
 
     context.world = play(scene, **context.options)
 
 
 @then("the pace is ordered {times:d} times")
-def pace_is_ordered(context, times):
+def assert_pace_orders(context, times):
     assert context.calls == times, context.calls
 
 
-@then("a line tells of the order that {ends}")
-def a_line_tells_of_the_order(context, ends):
-    assert context.ended, "no order ended otherwise"
-    words = "StrayCancellation" if ends == "was cancelled" else "ValueError"
-    told = [line for line in context.lines if line["event"] == "order.failed"]
-    assert len(told) == context.ended, (context.ended, told)
-    assert all(words in line["why"] for line in told), told
+@then("a log line reports the order that {ends}")
+def assert_order_logged(context, ends):
+    assert context.interrupted_calls, "no order was cancelled or failed"
+    reason = "StrayCancellation" if ends == "was cancelled" else "ValueError"
+    logged = [line for line in context.lines if line["event"] == "order.failed"]
+    assert len(logged) == context.interrupted_calls, (context.interrupted_calls, logged)
+    assert all(reason in line["why"] for line in logged), logged
 
 
-@when("{count:d} jobs are handed in, and an owner's ownership ends while its clean-up fails")
-def clean_up_fails(context, count):
+@when("{count:d} jobs are submitted, and an ownership ends while its cleanup fails")
+def end_ownership_with_failing_cleanup(context, count):
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, context.states, count))
+        work = asyncio.ensure_future(run_jobs(world, context.states, count))
         await asyncio.sleep(0.5)
         owned = world.dispatcher()
         owned.roster.close = raise_error
-        ended = _cancel_placing(owned)
+        wrappers = _cancel_placing(owned)
         await work
-        await asyncio.sleep(SETTLED_S)
-        context.ended = sum(one.count for one in ended)
-        context.lines = _lines(world)
+        await asyncio.sleep(RECOVERY_S)
+        context.interrupted_calls = sum(wrapper.count for wrapper in wrappers)
+        context.lines = _log_lines(world)
 
     context.world = play(scene, **context.options)
 
 
 def raise_error():
-    """What a clean-up does that nobody thought could fail."""
-    raise ValueError("it broke")
+    """Fail a cleanup unexpectedly."""
+    raise ValueError("unexpected error during cleanup")
 
 
-@then("a line tells of the part that ended by a cancellation: {event}")
-def a_line_tells(context, event):
-    assert context.ended, "nothing was cancelled"
-    told = [
+@then("a log line {event} reports the cancellation")
+def assert_cancellation_logged(context, event):
+    assert context.interrupted_calls, "nothing was cancelled"
+    logged = [
         line
         for line in context.lines
         if line["event"] == event and "StrayCancellation" in line.get("why", "")
     ]
-    assert told, [line for line in context.lines if "failed" in line["event"]]
+    assert logged, [line for line in context.lines if "failed" in line["event"]]
 
 
 def _end_fleet_appends(fleet, ends):
@@ -224,8 +229,8 @@
 }
 
 
-@when("a wave of {machines} comes, and one of the fleet's {part} {ends}")
-def fleet_part_ends(context, machines, part, ends):
+@when("a wave of {machines} is declared, and one of the fleet's {part} {ends}")
+def end_fleet_part(context, machines, part, ends):
     names = machines.split(" and ")
 
     async def scene(world):
@@ -234,45 +239,49 @@
             d for d in world.daemons_by_address.values() if FLEET_SHARD in d.owners.owned_by_shard
         )
         fleet = daemon.owners.owned_by_shard[FLEET_SHARD]
-        ended = END_BY_FLEET_PART[part](fleet, ENDS_BY_WORDS[ends])
+        wrapper = END_BY_FLEET_PART[part](fleet, OUTCOME_BY_NAME[ends])
         wave = publish_wave(world, names, at_once=len(names))
         await asyncio.sleep(20)
-        context.ended = ended.count
-        context.missing = [n for n in names if wave not in world.machines.places[n].waves_done]
-        context.lines = _lines(world)
+        context.interrupted_calls = wrapper.count
+        context.not_maintained = [
+            n for n in names if wave not in world.machines.places[n].waves_done
+        ]
+        context.lines = _log_lines(world)
 
     context.world = play(scene, **context.options)
 
 
-@when("a wave of {machines} comes while each answer of the store takes {seconds:g} s")
-def wave_beside_slow_store(context, machines, seconds):
+@when("a wave of {machines} is declared while each answer of the store takes {seconds:g} s")
+def run_wave_while_store_slow(context, machines, seconds):
     names = machines.split(" and ")
 
     async def scene(world):
         await asyncio.sleep(START_S)
         wave = publish_wave(world, names, at_once=len(names))
         world.store.slow_s = seconds
-        await asyncio.sleep(SETTLED_S)
-        context.missing = [n for n in names if wave not in world.machines.places[n].waves_done]
+        await asyncio.sleep(RECOVERY_S)
+        context.not_maintained = [
+            n for n in names if wave not in world.machines.places[n].waves_done
+        ]
 
     context.world = play(scene, **context.options)
 
 
-@then("all machines of the wave have had their maintenance")
-def all_maintained(context):
-    assert not context.missing, context.missing
+@then("all machines of the wave have been maintained")
+def assert_all_maintained(context):
+    assert not context.not_maintained, context.not_maintained
 
 
-@then("a line {event} tells why it ended")
-def a_line_tells_why(context, event):
-    assert context.ended, "nothing ended otherwise"
-    words = ("StrayCancellation", "ValueError")
-    told = [line for line in context.lines if line["event"] == event]
-    assert any(word in line["why"] for line in told for word in words), told
+@then("a log line {event} states the reason")
+def assert_reason_logged(context, event):
+    assert context.interrupted_calls, "nothing was cancelled or failed"
+    reasons = ("StrayCancellation", "ValueError")
+    logged = [line for line in context.lines if line["event"] == event]
+    assert any(reason in line["why"] for line in logged for reason in reasons), logged
 
 
-def _sure_of_others_shards(world):
-    """Shards of which a daemon is sure although the store has dealt them to another."""
+def _falsely_owned_shards(world):
+    """Return the shards that a daemon is certain to own and the store has assigned to another."""
     return {
         (daemon.name, shard)
         for daemon in world.daemons_by_address.values()
@@ -283,35 +292,35 @@
     }
 
 
-@when("{count:d} jobs are handed in, and an owner's part that renews is run again")
-def renewals_again(context, count):
+@when("{count:d} jobs are submitted, and the task that renews an owner's membership is restarted")
+def restart_renewals(context, count):
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, context.states, count))
+        work = asyncio.ensure_future(run_jobs(world, context.states, count))
         await asyncio.sleep(0.5)
         daemon = world.daemon(world.owner())
         daemon.tasks.pop().cancel()
         daemon.tasks.append(asyncio.ensure_future(daemon.owners.run()))
-        context.sure = set()
+        context.falsely_owned = set()
         for _ in range(2000):
             await asyncio.sleep(0.005)
-            context.sure |= _sure_of_others_shards(world)
+            context.falsely_owned |= _falsely_owned_shards(world)
         await work
 
     context.world = play(scene, **context.options)
 
 
-@then("no daemon was sure of a shard that the store had dealt to another")
-def nobody_sure(context):
-    assert not context.sure, context.sure
+@then("no daemon was certain of a shard that the store had assigned to another")
+def assert_no_false_owner(context):
+    assert not context.falsely_owned, context.falsely_owned
 
 
-@when("a daemon that {begins} is cut off from the store and told to stop")
-def cut_off_and_stopped(context, begins):
+@when("a daemon that {state} is cut off from the store and stopped")
+def stop_while_cut_off(context, state):
     async def scene(world):
         await asyncio.sleep(START_S)
         name = world.owner()
-        if begins == "has just been started":
+        if state == "has just been started":
             world.kill(name)
             world.store.cut_hosts.add(name)
             world.start(name)
@@ -334,16 +343,16 @@
 
 
 @then("it has left")
-def has_left(context):
-    assert context.left, "it waited for the store for 60 s"
+def assert_left(context):
+    assert context.left, "the daemon hadn't left after 60 s"
 
 
 @when("an executor ends and its entry lapses")
-def entry_lapses(context):
+def let_entry_lapse(context):
     async def scene(world):
         await asyncio.sleep(START_S)
         next(iter(world.fleet.by_address.values())).crash()
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(RECOVERY_S)
         context.unlisted = [
             line
             for daemon in world.daemons_by_address.values()
@@ -354,19 +363,20 @@
     context.world = play(scene, **context.options)
 
 
-@then("one line tells that it isn't listed any more")
-def told_once(context):
+@then("one log line reports that it isn't listed any more")
+def assert_logged_once(context):
     assert len(context.unlisted) == 1, context.unlisted
 
 
 async def _move_unanswered(context, world, meanwhile):
-    """Have a wave take a lasting task's machine.
+    """Move a lasting task off its machine by a wave; its first stop gets no answer.
 
-    Its first stop gets no answer after something else has happened.
+    :param meanwhile: called before that stop times out, with a run on another executor.
+    :return: the run to be moved.
     """
     await asyncio.sleep(START_S)
     assert await world.submit_until_accepted(job_id_of(1), LASTING)
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(RECOVERY_S)
     runs = list(world.dispatcher().running())
     moved = runs[0]
     other = next(run for run in runs if run.link is not moved.link)
@@ -378,7 +388,7 @@
 
     moved.link._port = EndedOnce(moved.link._port, "stop", ends=unanswered)
     publish_wave(world, [moved.link.entry.machine])
-    async with asyncio.timeout(WAVE_S):
+    async with asyncio.timeout(WAVE_START_S):
         while not moved.link._port.count:
             await asyncio.sleep(0.01)
     await asyncio.sleep(2)
@@ -386,7 +396,7 @@
 
 
 @when("a lasting task is moved, its stop gets no answer, and the executor of another one is lost")
-def stop_repeated_beside_loss(context):
+def lose_other_executor_during_stop(context):
     async def scene(world):
         await _move_unanswered(
             context, world, lambda w, other: w.fleet.by_address[other.link.entry.address].crash()
@@ -395,18 +405,18 @@
     context.world = play(scene, **context.options)
 
 
-@when("a lasting task is moved, its stop gets no answer, and all others of its step serve on")
-def stop_repeated_alone(context):
+@when("a lasting task is moved, its stop gets no answer, and all others of its step keep running")
+def keep_others_during_stop(context):
     async def scene(world):
         moved = await _move_unanswered(context, world, lambda w, other: None)
-        await asyncio.sleep(SETTLED_S)
-        context.left = [run for run in moved.link.runs_by_key.values() if run is moved]
+        await asyncio.sleep(RECOVERY_S)
+        context.remaining_runs = [run for run in moved.link.runs_by_key.values() if run is moved]
 
     context.world = play(scene, **context.options)
 
 
-def _call_off(world):
-    """Let the fleet's owner want no machine emptied any more."""
+def _cancel_moves(world):
+    """Cancel all emptying of machines by the owner of the fleet."""
     for daemon in world.daemons_by_address.values():
         fleet = daemon.owners.owned_by_shard.get(FLEET_SHARD)
         if fleet is not None:
@@ -415,10 +425,10 @@
 
 
 @when("a lasting task is moved, its stop gets no answer, and its machine is kept after all")
-def stop_called_off(context):
+def cancel_move_during_stop(context):
     async def scene(world):
-        moved = await _move_unanswered(context, world, lambda w, other: _call_off(w))
-        await asyncio.sleep(SETTLED_S)
+        moved = await _move_unanswered(context, world, lambda w, other: _cancel_moves(w))
+        await asyncio.sleep(RECOVERY_S)
         context.stayed = moved in moved.link.runs_by_key.values()
         context.at_work = world.fleet.is_at_work(moved.task.task_id)
         context.phase = moved.phase
@@ -426,25 +436,25 @@
     context.world = play(scene, **context.options)
 
 
-@then("the task is at work where it was")
-def at_work_where_it_was(context):
+@then("the task is still at work on its executor")
+def assert_still_at_work(context):
     assert context.stayed and context.at_work, (context.stayed, context.at_work)
     assert context.phase is RunPhase.RUNNING, context.phase
 
 
 class UnansweredPort:
-    """Carries starts out and loses their answers; loses stops until these are let through."""
+    """Passes starts on and loses their answers; loses stops until they are let through."""
 
     def __init__(self, port):
         self._port = port
-        self.lets_stops_through = False
+        self.passes_stops = False
 
     async def start(self, entry, **fields):
         await self._port.start(entry, **fields)
         return NoAnswer(sent=True, detail="no answer in time")
 
     async def stop(self, entry, **fields):
-        if self.lets_stops_through:
+        if self.passes_stops:
             return await self._port.stop(entry, **fields)
         await asyncio.sleep(0.3)
         return NoAnswer(sent=True, detail="no answer in time")
@@ -453,8 +463,8 @@
         return getattr(self._port, name)
 
 
-def _runs_apart(world):
-    """Two runs on different executors."""
+def _two_separate_runs(world):
+    """Return two runs on different executors."""
     links = world.dispatcher().roster.links_by_executor.values()
     runs = [run for link in links for run in link.runs_by_key.values()]
     return runs[0], next(run for run in runs if run.link is not runs[0].link)
@@ -464,22 +474,22 @@
     "a lasting task's start and stops get no answer, "
     "and the executor of another one is lost meanwhile"
 )
-def start_unanswered_beside_loss(context):
+def lose_other_executor_after_start(context):
     async def scene(world):
         await asyncio.sleep(START_S)
         for link in world.dispatcher().roster.links_by_executor.values():
             link._port = UnansweredPort(link._port)
         assert await world.submit_until_accepted(job_id_of(1), LASTING)
-        await asyncio.sleep(SETTLED_S)
-        unsure, other = _runs_apart(world)
-        assert world.fleet.is_at_work(unsure.task.task_id), "it isn't at work"
+        await asyncio.sleep(RECOVERY_S)
+        unanswered, other = _two_separate_runs(world)
+        assert world.fleet.is_at_work(unanswered.task.task_id), "the task isn't at work"
         world.fleet.by_address[other.link.entry.address].crash()
-        unsure.link._port.lets_stops_through = True
+        unanswered.link._port.passes_stops = True
         await asyncio.sleep(2)
 
     context.world = play(scene, **context.options)
 
 
-@then("the task has left its executor in the end")
-def has_left(context):
-    assert not context.left, context.left
+@then("the task has left its executor")
+def assert_task_left(context):
+    assert not context.remaining_runs, context.remaining_runs
--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the owners' feature, on virtual time."""
+"""Steps of the owners feature, in virtual time."""
 
 import asyncio
 import os
@@ -6,10 +6,10 @@
 
 from behave import given, then, when
 from hypothesis import HealthCheck, Phase, settings, strategies
-from hypothesis import given as drawn
+from hypothesis import given as given_drawn
 from hypothesis.stateful import run_state_machine_as_test
 
-from features.support.owner_jobs import START_S, hand_in, job_id_of
+from features.support.owner_jobs import START_S, job_id_of, run_jobs
 from mustardgap.evacuations import Evacuations
 from mustardgap.job_states import Task
 from mustardgap.runs import Run, RunPhase
@@ -28,13 +28,11 @@
     context.states = {}
 
 
-@when(
-    '{count:d} jobs of two steps are handed in under the trouble "{name}", {times:d} times in a row'
-)
-def jobs_under_trouble(context, count, name, times):
+@when('{count:d} jobs of two steps are submitted, with the fault "{name}" {times:d} times in a row')
+def run_jobs_with_fault(context, count, name, times):
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, context.states, count))
+        work = asyncio.ensure_future(run_jobs(world, context.states, count))
         for _ in range(times):
             await asyncio.sleep(0.9)
             await BY_NAME[name](world)
@@ -43,50 +41,51 @@
     context.world = play(scene, **context.options)
 
 
-def _lines(world):
+def _log_lines(world):
     return [line for d in world.daemons_by_address.values() for line in d.events.kept]
 
 
-@when("{count:d} short jobs are handed in while executors lose answers")
-def short_jobs(context, count):
+@when("{count:d} short jobs are submitted while executors lose answers")
+def run_while_answers_lost(context, count):
     async def scene(world):
         await asyncio.sleep(START_S)
-        trouble = asyncio.ensure_future(BY_NAME["executors lose answers"](world))
-        await hand_in(world, context.states, count)
-        await trouble
+        fault = asyncio.ensure_future(BY_NAME["executors lose answers"](world))
+        await run_jobs(world, context.states, count)
+        await fault
 
     context.world = play(scene, work_s=0.2, **context.options)
 
 
-@when("{count:d} wide jobs are handed in at once while an order takes its owner {ms:d} ms")
-def wide_jobs(context, count, ms):
+@when("{count:d} jobs of 12 tasks are submitted at once while sending an order takes {ms:d} ms")
+def run_while_orders_slow(context, count, ms):
     spec = TWO_STEPS._replace(steps=(TWO_STEPS.steps[0]._replace(width=12),))
 
     async def scene(world):
         await asyncio.sleep(START_S)
         world.fleet.order_s = ms / 1000
-        await hand_in(world, context.states, count, pause_s=0, spec=spec)
-        context.lines = _lines(world)
+        await run_jobs(world, context.states, count, pause_s=0, spec=spec)
+        context.lines = _log_lines(world)
 
     context.world = play(scene, executors=24, **context.options)
 
 
 @when(
-    "a job of {width:d} small tasks begins, one of {count:d} executors is cut off for {seconds:d} s"
+    "a job of {width:d} small tasks has started, "
+    "one of {count:d} executors is cut off for {seconds:d} s"
 )
-def small_tasks(context, width, count, seconds):
+def cut_executor_off(context, width, count, seconds):
     step = TWO_STEPS.steps[0]._replace(width=width, cpu=100)
 
     async def scene(world):
         await asyncio.sleep(START_S)
         spec = TWO_STEPS._replace(steps=(step,))
-        work = asyncio.ensure_future(hand_in(world, context.states, 1, spec=spec))
+        work = asyncio.ensure_future(run_jobs(world, context.states, 1, spec=spec))
         while not world.fleet.record.runs:
             await asyncio.sleep(0.001)
         first = world.fleet.record.runs[0].executor
         world.fleet.cut.add((None, first))
         await asyncio.sleep(seconds)
-        context.states_in_time = dict(context.states)
+        context.states_before_return = dict(context.states)
         world.fleet.cut.discard((None, first))
         await work
         await asyncio.sleep(10)
@@ -95,15 +94,15 @@
 
 
 @when("a job fails once and its owner is stopped before the failure is acknowledged")
-def fails_once(context):
+def stop_owner_before_acknowledgement(context):
     async def scene(world):
         await asyncio.sleep(START_S)
         executors = list(world.fleet.by_address.values())
         for executor in executors:
             executor.fails = True
-            # Whatever is acknowledged gets lost on its way.
+            # Acknowledgements to the executor are lost.
             executor.deaf = True
-        work = asyncio.ensure_future(hand_in(world, context.states, 1))
+        work = asyncio.ensure_future(run_jobs(world, context.states, 1))
         while not any(run.how is EndKind.FAILED for run in world.fleet.record.runs):
             await asyncio.sleep(0.01)
         for executor in executors:
@@ -117,13 +116,13 @@
     context.world = play(scene, **context.options)
 
 
-@when("a job of two independent steps has failed at its first one before room is free")
-def independent_steps(context):
+@when("a job of two independent steps has failed at its first one before capacity is free")
+def fail_first_step(context):
     first, second = TWO_STEPS.steps
     spec = TWO_STEPS._replace(steps=(first, second._replace(depends_on=())))
 
     async def scene(world):
-        _drain(world)
+        _drain_executors(world)
         await asyncio.sleep(START_S)
         assert await world.submit_until_accepted(job_id_of(1), spec)
         await asyncio.sleep(0.1)
@@ -139,8 +138,8 @@
     context.world = play(scene, **context.options)
 
 
-@when("a job is cancelled {ms:d} ms before a task ends, and its owner reaches the store no more")
-def cancelled_before_end(context, ms):
+@when("a job is cancelled {ms:d} ms before a task ends, and its owner is cut off from the store")
+def cancel_before_end(context, ms):
     async def scene(world):
         await asyncio.sleep(START_S)
         job_id = job_id_of(1)
@@ -159,27 +158,27 @@
     context.world = play(scene, **context.options)
 
 
-@when('a lasting job is cancelled under the trouble "{name}"')
-def cancelled_under_trouble(context, name):
+@when('a lasting job is cancelled, with the fault "{name}"')
+def cancel_with_fault(context, name):
     async def scene(world):
         await asyncio.sleep(START_S)
         assert await world.submit_until_accepted(job_id_of(1), LASTING)
         await asyncio.sleep(2)
-        trouble = asyncio.ensure_future(BY_NAME[name](world))
+        fault = asyncio.ensure_future(BY_NAME[name](world))
         await asyncio.sleep(0.05)
         for attempt in range(60):
             if await world.cancel(job_id_of(1), world.names[attempt % 3]) == 200:
                 break
             await asyncio.sleep(0.3)
         context.cancelled_at = world.loop.time()
-        await trouble
+        await fault
         await asyncio.sleep(20)
 
     context.world = play(scene, **context.options)
 
 
-@when('a lasting job runs under the trouble "{name}" for {seconds:d} s')
-def lasting_under_trouble(context, name, seconds):
+@when('a lasting job runs for {seconds:d} s, with the fault "{name}"')
+def run_lasting_with_fault(context, seconds, name):
     async def scene(world):
         await asyncio.sleep(START_S)
         assert await world.submit_until_accepted(job_id_of(1), LASTING)
@@ -191,8 +190,8 @@
     context.world = play(scene, **context.options)
 
 
-@when('{count:d} jobs wait for a label that no executor has, and the trouble "{name}" comes')
-def jobs_wait(context, count, name):
+@when('{count:d} jobs require a label that no executor has, and the fault "{name}" occurs')
+def submit_unplaceable(context, count, name):
     steps = tuple(step._replace(requires="gold") for step in TWO_STEPS.steps)
 
     async def scene(world):
@@ -208,15 +207,15 @@
     context.world = play(scene, **context.options)
 
 
-def _drain(world):
-    """Let every executor say that it is about to leave."""
+def _drain_executors(world):
+    """Publish a draining entry for every executor."""
     for executor in world.fleet.by_address.values():
         executor.entry = executor.entry._replace(draining=True)
         world.publish(executor)
 
 
 @when("daemons are stopped at {count:d} moments after another one has joined")
-def stopped_while_dealt(context, count):
+def stop_during_reassignment(context, count):
     async def scene(world):
         await asyncio.sleep(START_S)
         for name in ("e2", "e3"):
@@ -230,18 +229,18 @@
                 await asyncio.sleep(0.0001)
             await asyncio.sleep(number * 0.0005)
             await world.stop("e1")
-            context.left += 1
-            context.kept += len(world.gone.owners.owned_by_shard)
+            context.stops += 1
+            context.shards_kept += len(world.gone.owners.owned_by_shard)
             world.start("e1")
             await asyncio.sleep(2)
             await world.stop("e2")
 
-    context.left = context.kept = 0
+    context.stops = context.shards_kept = 0
     context.world = play(scene, **context.options)
 
 
-@when("one job is handed in through all hosts at once, and again after it has ended")
-def repeated(context):
+@when("one job is submitted through all hosts at once, and again after it has ended")
+def submit_repeatedly(context):
     async def scene(world):
         await asyncio.sleep(START_S)
         job_id = job_id_of(1)
@@ -255,8 +254,8 @@
     context.world = play(scene, **context.options)
 
 
-@when("{count:d} jobs are handed in while the store is down")
-def store_is_down(context, count):
+@when("{count:d} jobs are submitted while the store is down")
+def submit_while_store_down(context, count):
     async def scene(world):
         await asyncio.sleep(START_S)
         world.store.down = True
@@ -268,14 +267,14 @@
     context.world = play(scene, **context.options)
 
 
-@when("a configuration is published and {trouble}")
-def configuration_published(context, trouble):
+@when("a configuration is published and {fault}")
+def publish_configuration(context, fault):
     async def scene(world):
         await asyncio.sleep(START_S)
-        if trouble == "a daemon's waiting read is silent":
+        if fault == "a daemon's waiting read is silent":
             world.store.silenced_hosts.add("e1")
             await asyncio.sleep(0.1)
-        elif trouble == "a daemon is cut off from the store":
+        elif fault == "a daemon is cut off from the store":
             world.store.cut_hosts.add("e1")
         world.publish_configuration(5)
         await asyncio.sleep(2)
@@ -287,13 +286,13 @@
     context.world = play(scene, **context.options)
 
 
-@when("a job is handed in while the only executor fails for a moment")
-def only_executor_fails(context):
+@when("a job is submitted while the only executor fails briefly")
+def run_while_only_executor_fails(context):
     async def scene(world):
         await asyncio.sleep(START_S)
         for executor in world.fleet.by_address.values():
             executor.fails = True
-        work = asyncio.ensure_future(hand_in(world, context.states, 1))
+        work = asyncio.ensure_future(run_jobs(world, context.states, 1))
         while not any(run.how is EndKind.FAILED for run in world.fleet.record.runs):
             await asyncio.sleep(0.01)
         for executor in world.fleet.by_address.values():
@@ -303,8 +302,11 @@
     context.world = play(scene, executors=1, **context.options)
 
 
-def _kind(name, now):
-    """A job's spec and the options of its world, by the kind's name."""
+def _make_spec(name, now):
+    """Return the spec of a job of a kind.
+
+    :param now: the wall clock time in seconds.
+    """
     step = TWO_STEPS.steps[0]
     plain = TWO_STEPS
     kinds = {
@@ -318,8 +320,8 @@
     return kinds.get(name, plain)
 
 
-@when("4 jobs are handed in that are {kind}")
-def jobs_of_kind(context, kind):
+@when("4 jobs are submitted that are {kind}")
+def run_jobs_of_kind(context, kind):
     async def scene(world):
         if "label" in kind:
             for executor in list(world.fleet.by_address.values())[:2]:
@@ -327,8 +329,8 @@
                 world.publish(executor)
         await asyncio.sleep(START_S)
         wall = world.daemon("e1").clock.wall()
-        spec = _kind(kind, wall)
-        await hand_in(world, context.states, 4, spec=spec)
+        spec = _make_spec(kind, wall)
+        await run_jobs(world, context.states, 4, spec=spec)
         runs = world.fleet.record.runs
         tasks = {run.task for run in runs if run.how is EndKind.DONE}
         expected = sum(step.width for step in spec.steps) * max(spec.repeats, 1) * 4
@@ -340,8 +342,8 @@
     context.world = play(scene, advised="policy" in kind, **context.options)
 
 
-@when("random troubles are played")
-def random_troubles(context):
+@when("random faults occur while jobs run")
+def run_with_random_faults(context):
     context.failures = []
     names = sorted(BY_NAME)
     step = strategies.tuples(strategies.sampled_from(names), strategies.floats(0.1, 3.0))
@@ -354,58 +356,60 @@
         phases=(Phase.generate,),
         suppress_health_check=list(HealthCheck),
     )
-    @drawn(strategies.lists(step, min_size=2, max_size=8), strategies.integers(0, 1000))
+    @given_drawn(strategies.lists(step, min_size=2, max_size=8), strategies.integers(0, 1000))
     def run(steps, seed):
-        context.failures += _played(steps, seed)
+        context.failures += _run_with_faults(steps, seed)
 
     run()
 
 
-def _played(steps, seed):
+def _run_with_faults(steps, seed):
     states = {}
 
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, states, 6, pause_s=1.0))
+        work = asyncio.ensure_future(run_jobs(world, states, 6, pause_s=1.0))
         assert await world.submit_until_accepted(job_id_of(99), LASTING)
-        troubles = []
+        faults = []
         for name, pause_s in steps:
-            troubles.append(asyncio.ensure_future(BY_NAME[name](world)))
+            faults.append(asyncio.ensure_future(BY_NAME[name](world)))
             await asyncio.sleep(pause_s)
-        await asyncio.gather(work, *troubles)
+        await asyncio.gather(work, *faults)
         await asyncio.sleep(20)
 
     try:
         world = play(scene, seed=seed)
     except AssertionError as exc:
         return [f"{steps} seed {seed}: {exc}"]
-    unended = {job: state for job, state in states.items() if state not in ("completed", "failed")}
-    found = world.problems() + ([f"not ended: {unended}"] if unended else [])
-    return [f"{steps} seed {seed}: {problem}" for problem in found]
+    not_ended = {
+        job: state for job, state in states.items() if state not in ("completed", "failed")
+    }
+    problems = world.problems() + ([f"not ended: {not_ended}"] if not_ended else [])
+    return [f"{steps} seed {seed}: {problem}" for problem in problems]
 
 
 @then("all jobs have ended as {state}")
-def all_ended(context, state):
+def assert_all_ended(context, state):
     assert context.states and set(context.states.values()) == {state}, context.states
 
 
 @then("no promise was broken")
-def nothing_broken(context):
+def assert_nothing_broken(context):
     assert not context.world.problems(), "\n".join(context.world.problems())
 
 
-@then("all plays kept every promise")
-def plays_kept(context):
+@then("no run broke a promise")
+def assert_no_failures(context):
     assert not context.failures, "\n".join(context.failures[:10])
 
 
 @then("the job has ended before the executor is back")
-def ended_in_time(context):
-    assert set(context.states_in_time.values()) == {"completed"}, context.states_in_time
+def assert_ended_in_time(context):
+    assert set(context.states_before_return.values()) == {"completed"}, context.states_before_return
 
 
 @then("nothing of the job runs after {seconds:d} s")
-def nothing_runs(context, seconds):
+def assert_nothing_runs(context, seconds):
     late = [
         run
         for run in context.world.fleet.record.runs
@@ -415,27 +419,27 @@
 
 
 @then("all tasks of the job are at work")
-def at_work(context):
+def assert_all_at_work(context):
     assert context.at_work == LASTING.steps[0].width, context.at_work
 
 
-@then("each host shows {count:d} jobs that haven't begun")
-def shows_waiting(context, count):
+@then("each host reports {count:d} pending jobs")
+def assert_pending(context, count):
     assert context.pending == [count] * 3, context.pending
 
 
-@then("all have left in good order")
-def all_left(context):
-    assert context.left == 40 and not context.kept, (context.left, context.kept)
+@then("all have left cleanly")
+def assert_all_left(context):
+    assert context.stops == 40 and not context.shards_kept, (context.stops, context.shards_kept)
 
 
-@then("it is in force on all daemons after 2 s")
-def in_force(context):
+@then("all daemons have applied it after 2 s")
+def assert_applied(context):
     assert set(context.versions.values()) == {5}, context.versions
 
 
 @then("a lasting run found {age:g} s ago {counts} as at work, where a stop takes {stop:g} s")
-def counts_as_at_work(context, age, counts, stop):
+def assert_counts_as_at_work(context, age, counts, stop):
     task = Task(task_id=TaskId(job_id_of(1), 0, 0, 0), step=LASTING.steps[0])
     link = SimpleNamespace(up=True, last_report_at=100.0)
     run = Run(task=task, number=1, link=link, now=100.0 - age)
@@ -447,19 +451,19 @@
 
 
 @then("each start was answered")
-def starts_answered(context):
+def assert_starts_answered(context):
     lost = [line for line in context.lines if line["event"] == "run.unanswered"]
     assert not lost, (len(lost), lost[:3])
 
 
 @then("no executor was paused")
-def none_paused(context):
+def assert_none_paused(context):
     paused = [line for line in context.lines if line["event"] == "executor.paused"]
     assert not paused, (len(paused), paused[:3])
 
 
 @then("nothing was started on an executor that had been draining for {seconds:d} s")
-def drained(context, seconds):
+def assert_none_started_after_draining(context, seconds):
     world = context.world
     assert len(world.drained_at_by_executor) == 3, world.drained_at_by_executor
     late = [
@@ -470,35 +474,35 @@
     assert not late, late
 
 
-@then("no task that has ended as done was started again")
-def none_started_again(context):
+@then("no completed task was started again")
+def assert_none_started_again(context):
     runs = context.world.fleet.record.runs
     assert any(run.how is EndKind.DONE for run in runs), runs
     ended = {run.task: run.ended_at for run in runs if run.how is EndKind.DONE}
-    again = [run for run in runs if run.started_at > ended.get(run.task, 1e9)]
-    assert not again, again
+    restarted = [run for run in runs if run.started_at > ended.get(run.task, 1e9)]
+    assert not restarted, restarted
 
 
 @then("nothing of the job was started")
-def nothing_started(context):
+def assert_nothing_started(context):
     assert not context.world.fleet.record.runs, context.world.fleet.record.runs
 
 
 @then("each task has run once")
-def ran_once(context):
+def assert_ran_once(context):
     tasks = [run.task for run in context.world.fleet.record.runs]
     expected = len(context.states) * sum(step.width for step in TWO_STEPS.steps)
     assert len(tasks) == len(set(tasks)) == expected, tasks
 
 
 @then("each answer was 200, 503 or 504")
-def answers(context):
+def assert_statuses(context):
     statuses = {s for asked in context.world.asked_by_job.values() for s in asked.statuses}
     assert statuses <= {200, 503, 504}, statuses
 
 
-@then("no order of jobs, cancels and troubles breaks a promise")
-def state_machine(context):
+@then("no sequence of jobs, cancellations and faults breaks a promise")
+def run_state_machine(context):
     run_state_machine_as_test(
         OwnerMachine,
         settings=settings(
--- a/features/steps/standbys_steps.py
+++ b/features/steps/standbys_steps.py
@@ -4,7 +4,7 @@
 
 from behave import then, when
 
-from features.support.owner_jobs import START_S, hand_in
+from features.support.owner_jobs import START_S, run_jobs
 from mustardgap.standbys import is_small
 from tools.owner_worlds import play
 
@@ -33,7 +33,7 @@
 def jobs_with_small_hosts(context, count, small, name):
     async def scene(world):
         await asyncio.sleep(START_S)
-        work = asyncio.ensure_future(hand_in(world, context.states, count))
+        work = asyncio.ensure_future(run_jobs(world, context.states, count))
         context.owners = [owners(world)]
         for host in KILLED_BY_TROUBLE[name]:
             world.kill(host)
@@ -58,7 +58,7 @@
         await asyncio.sleep(START_S)
         for name in names:
             world.fill_link(name)
-        await hand_in(world, context.states, count)
+        await run_jobs(world, context.states, count)
         await asyncio.sleep(SETTLED_S)
         context.joined = [name for name in world.store.members_by_name if is_small(name)]
 
@@ -69,7 +69,7 @@
 def jobs_to_small_hosts(context, count, hosts):
     async def scene(world):
         await asyncio.sleep(START_S)
-        await hand_in(world, context.states, count)
+        await run_jobs(world, context.states, count)
 
     names = [f"e{number}" for number in range(1, hosts + 1)]
     context.world = play(scene, daemons=hosts, small=names, **context.options)
--- a/features/support/owner_jobs.py
+++ b/features/support/owner_jobs.py
@@ -1,25 +1,29 @@
-"""Jobs that are handed in to owners on a fake platform."""
+"""Jobs that are submitted to owners on a fake platform."""
 
 import asyncio
 
 from tools.owner_troubles import TWO_STEPS
 
-# By then shards are owned, and executors known.
+# After this time shards have owners, and executors are known.
 START_S = 6.0
 
 
 def job_id_of(number):
-    """The id of a test's job."""
+    """Return the id of a test's job by its number."""
     return f"{number:016x}"
 
 
-async def hand_in(world, states, count, pause_s=0.4, spec=TWO_STEPS):
-    """Hand jobs in one after another, and wait for their ends."""
+async def run_jobs(world, states, count, pause_s=0.4, spec=TWO_STEPS):
+    """Submit jobs at an interval, and wait until all have ended.
 
-    async def one(number):
+    :param states: receives the final state of each job by its id.
+    :param pause_s: the interval between two jobs in seconds.
+    """
+
+    async def run_job(number):
         job_id = job_id_of(number)
         await asyncio.sleep(number * pause_s)
         assert await world.submit_until_accepted(job_id, spec), "no host accepted the job"
         states[job_id] = await world.final_state(job_id, 60)
 
-    await asyncio.gather(*(one(number) for number in range(count)))
+    await asyncio.gather(*(run_job(number) for number in range(count)))
