--- a/features/steps/owners_parts_steps.py
+++ b/features/steps/owners_parts_steps.py
@@ -13,7 +13,7 @@
 from mustardgap.shard_owners import FLEET_SHARD
 from mustardgap.workloads import TaskId
 from tools.owner_daemons import SERVICE
-from tools.owner_oracle import Asked
+from tools.owner_oracle import JobHistory
 from tools.owner_troubles import LASTING, publish_wave
 from tools.owner_worlds import play
 
@@ -127,7 +127,7 @@
         wrappers = end_calls(dispatcher, "stop", OUTCOME_BY_NAME[ends])
         executor = next(e for e in world.fleet.by_address.values() if e.entry.service == SERVICE)
         stray = TaskId(job_id_of(1), 0, 0, 0)
-        world.asked_by_job[stray.job] = Asked(LASTING, [], [])
+        world.asked_by_job[stray.job] = JobHistory(LASTING, [], [])
         world.cancelling.add(stray.job)
         until_ms = executor.clock_ms() + 60_000
         executor.start(stray, 1, "lasting", until_ms, dispatcher.epoch)
--- a/tools/owner_worlds.py
+++ b/tools/owner_worlds.py
@@ -25,7 +25,7 @@
 from .fake_machines import FakeMachines
 from .fake_store import FakeStore
 from .owner_daemons import ADVICE_VALID_S, ADVISE_S, SERVICE, SHARDS, FakeDaemon
-from .owner_oracle import Asked, crash_problems, problems
+from .owner_oracle import JobHistory, crash_problems, problems
 from .virtual_time import VirtualLoop
 
 ATTEMPTS = 2
@@ -84,7 +84,7 @@
         self.store = FakeStore(shards=SHARDS, seed=seed)
         self.fleet = FakeExecutors(seed=seed)
         self.machines = FakeMachines(world=self)
-        self.asked_by_job: dict[str, Asked] = {}
+        self.asked_by_job: dict[str, JobHistory] = {}
         self.daemons_by_address: dict[str, FakeDaemon] = {}
         # The daemon that has left last.
         self.gone: FakeDaemon | None = None
@@ -265,7 +265,7 @@
 
     async def submit(self, job_id: str, spec: JobSpec, host: str) -> JobReply | None:
         """Hand a job in through a host; None when the host is dead."""
-        asked = self.asked_by_job.setdefault(job_id, Asked(spec, [], []))
+        asked = self.asked_by_job.setdefault(job_id, JobHistory(spec, [], []))
         daemon = self.daemons_by_address.get(f"{host}:1")
         if daemon is None:
             return None
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -16,7 +16,7 @@
 import click
 
 from .fake_executors import FleetRecord
-from .owner_oracle import Asked, crash_problems, problems
+from .owner_oracle import JobHistory, crash_problems, problems
 from .soak_callers import FINAL_STATES, Caller
 from .soak_troubles import TROUBLES, resize_executors, turn_partitions_away
 from .soak_world import PLATFORM, SoakWorld
@@ -126,7 +126,7 @@
         found += _broken(await world.history(), callers)
 
 
-def _asked(callers: list[Caller]) -> dict[str, Asked]:
+def _asked(callers: list[Caller]) -> dict[str, JobHistory]:
     return {job: asked for caller in callers for job, asked in list(caller.asked_by_job.items())}
 
 
--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -9,7 +9,7 @@
 
 from mustardgap.workloads import JobSpec, Step
 
-from .owner_oracle import Asked
+from .owner_oracle import JobHistory
 from .soak_world import HOST, SoakWorld
 from .wire_platform import CRASHING
 
@@ -35,7 +35,7 @@
 
     def __init__(self, *, number: int, world: SoakWorld, seed: int) -> None:
         super().__init__(name=f"caller {number}", daemon=True)
-        self.asked_by_job: dict[str, Asked] = {}
+        self.asked_by_job: dict[str, JobHistory] = {}
         self.found: list[str] = []
         self.answers = 0
         self.stopping = threading.Event()
@@ -87,7 +87,7 @@
         if self._crash_rng.random() < CRASHING_SHARE:
             task = self._crash_rng.randrange(spec.steps[0].width)
             spec = spec._replace(payload=f"{CRASHING}{task}")
-        self.asked_by_job[job_id] = Asked(spec, [], [])
+        self.asked_by_job[job_id] = JobHistory(spec, [], [])
         for _ in range(self._rng.randint(1, 8)):
             if self._send(job_id) not in (0, 502, 504, *CERTAINLY_REFUSED):
                 return
