--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -178,7 +178,7 @@
 
 
 @when('a lasting job runs for {seconds:d} s, with the fault "{name}"')
-def run_lasting_with_fault(context, seconds, name):
+def run_lasting_with_fault(context, name, seconds):
     async def scene(world):
         await asyncio.sleep(START_S)
         assert await world.submit_until_accepted(job_id_of(1), LASTING)
