--- a/mustardgap/wave_rules.py
+++ b/mustardgap/wave_rules.py
@@ -36,9 +36,9 @@
         detail = f"no host {unknown[0]}" if unknown else "a wave needs hosts"
         return Rejected(code=status_codes.UNKNOWN_HOST, detail=detail)
     for other in state.waves_by_name.values():
-        both = sorted(hosts.intersection(other["hosts"]))
-        if both and other["phase"] != "finished":
-            return wrong_phase(f"{both[0]} is in wave {other['wave']} already")
+        shared = sorted(hosts.intersection(other["hosts"]))
+        if shared and other["phase"] != "finished":
+            return wrong_phase(f"{shared[0]} is in wave {other['wave']} already")
     return None
 
 
