--- a/mustardgap/waves.py
+++ b/mustardgap/waves.py
@@ -1,8 +1,9 @@
-"""Maintenance waves: which hosts to empty, reboot and bring back next.
+"""Maintenance waves: choose which hosts to drain, reboot and return to service next.
 
-A service whose margin doesn't let a host go gets a stand-in from the spare pool, all its hosts are
-done one after the other, and the stand-in goes on to the next service. So one spare serves the
-whole fleet, and a wave costs about one move a service instead of one a host.
+A service without the margin to lose a host first gets a stand-in host, usually from the spare pool.
+Its hosts are then maintained one after the other, and the stand-in moves on to the next service. A
+single spare host is thus enough for the whole fleet, and a wave costs about one move per service
+instead of one per host.
 """
 
 import math
@@ -19,22 +20,25 @@
 from .states import domain_of
 
 STANDING_WAVE = "standing"
-# So many hosts are out at once that a round through the whole fleet takes at most this share of the
-# period. A round starts so early that it could take a quarter longer and still leave a tenth.
+# A round maintains every host of the fleet once. So many hosts may be out at once that a round takes
+# at most this share of the maintenance period.
 MAX_ROUND_SHARE = 0.4
+# Hosts are due so early that a round can take this many times its expected time and still be in time.
 ROUND_TIME_FACTOR = 1.25
+# This share of the maintenance period is left after the end of such a slow round.
 PERIOD_RESERVE_SHARE = 0.1
-# A visited service has its hosts done together that have waited_s for this share of the time after
-# which the visit was due, so that it isn't visited for each of them.
+# When one host of a service is due, its other hosts are maintained along with it if the time since
+# their last maintenance is above this share of the due age. Otherwise the service would need another
+# stand-in for each of them.
 INCLUDE_AGE_SHARE = 0.5
 
 
 class Waves:
-    """The steps of all waves in one plan.
+    """Adds the steps of all waves to one plan.
 
     :param draft: the plan being drafted.
-    :param waves: the waves that operators started.
-    :param settings: how long a host may take to return.
+    :param waves: the waves started by operators; finished ones are ignored.
+    :param settings: the settings with the time limit for a host's return from a reboot.
     """
 
     def __init__(
@@ -57,12 +61,12 @@
 
     @property
     def active_group_count(self) -> int:
-        """How many services a wave is at work on, each with a stand-in or a margin of its own."""
+        """Count the services under maintenance, each with a stand-in or surplus of its own."""
         groups = (self._fleet.groups_by_name[n] for n in self.held_names)
         return sum(1 for group in groups if group.has_surplus or group.out_ids)
 
     def plan_steps(self) -> None:
-        """Go on with the hosts that are out, then take out the next ones."""
+        """Add the next steps of the hosts that are out, then drain further hosts."""
         for host_id in sorted(self._fleet.out_ids - self._draft.touched):
             self._continue_host(self._fleet.hosts_by_id[host_id])
         for wave in self._open_waves:
@@ -119,7 +123,7 @@
                 self._draft.problems.append(f"a host of {name} is {delay} late for maintenance")
 
     def _find_due_hosts(self, name: str, hosts: Iterable[HostState]) -> dict[str, str]:
-        """The hosts that may be taken out, and for which wave."""
+        """Return the names of the waves by the hosts that are due for them."""
         started = self._started_waves_by_group.get(name, {})
         due: dict[str, str] = {}
         is_standing = name in self._standing_group_names
@@ -139,7 +143,10 @@
         return not group.out_ids, not group.has_surplus, group.oldest_maintained() or 0.0, name
 
     def _maintain_group(self, group: Group, limit: int) -> bool:
-        """Take out what may go now; return whether the wave is at work on this group."""
+        """Drain the due hosts that the group can lose now.
+
+        :return: whether the group counts as under maintenance.
+        """
         if not group.has_surplus and (group.out_ids or self._fleet.short_group_names):
             return self._postpone(group)
         if not self._draft.is_settled(group):
@@ -172,7 +179,7 @@
 
     def _provide_stand_in(self, group: Group, due: dict[str, str]) -> bool:
         if self._fleet.short_group_names:
-            # Spare hosts are for the services that a failure has left short.
+            # Spare hosts are reserved for the services that lack hosts after a failure.
             return self._postpone(group)
         if group.is_full:
             self._note_waiting(group, "it has no margin, and no room for a stand-in")
@@ -180,7 +187,7 @@
             return True
         else:
             self._note_waiting(group, "it has no margin, and no spare host is of use as a stand-in")
-        # Its surplus, if any, is of no use to it now, and may be just what another service needs.
+        # The group can't use its surplus hosts now; release them, as another service may need them.
         self.held_names.discard(group.requirement.name)
         return False
 
@@ -188,7 +195,7 @@
         hosts = (self._fleet.hosts_by_id[host_id] for host_id in due)
         domains = {domain_of(host["facts"], group.requirement.survive) for host in hosts}
         conditions = (partial(adds_margin, group), partial(_is_in_domains, domains, group))
-        # A host that was emptied for this already comes before all others.
+        # A host that an earlier plan drained for this purpose comes first.
         if any(
             self._assign_stand_in(group, condition, self._fleet.emptied_ids)
             for condition in conditions
@@ -199,8 +206,9 @@
             self._assign_stand_in,
             self._move_stand_in,
         ]
-        # Surplus that is about to be given back costs one move when it goes on to the next service
-        # at once, and two by way of the spare pool. Otherwise a spare host disturbs nobody.
+        # A surplus host that is about to be released costs one move if it goes straight to the next
+        # service, and two if it passes through the spare pool. In all other cases a spare host is
+        # better, since taking it disturbs no service.
         uses_last_spares = self._fleet.free_count <= self._fleet.policy["spare_hosts"]
         if weights.buffer > weights.move or uses_last_spares:
             sources.reverse()
@@ -240,7 +248,7 @@
         hosts = [self._fleet.hosts_by_id[h] for h in free if h not in self._draft.touched]
         due = [h for h in hosts if h["host"] in started or h["maintained"] < due_before]
         due = [h for h in due if h["phase"] == "in_service" and not self._draft.is_stuck(h)]
-        # The last spare is the wave's only stand-in: it is done when no service needs it.
+        # The last spare host is the only stand-in, so it is maintained when no service needs it.
         is_needed = bool(self.held_names or self._fleet.short_group_names)
         if not due or len(self._fleet.out_ids) >= limit or (len(hosts) < 2 and is_needed):
             return
@@ -261,7 +269,7 @@
 
 
 def max_hosts_out(fleet: Fleet) -> int:
-    """How many hosts may be out at once so that a round takes its share of the period."""
+    """Return how many hosts may be out at once, for a round to take its share of the period."""
     return max(
         1,
         math.ceil(
@@ -271,7 +279,10 @@
 
 
 def due_age_s(fleet: Fleet) -> float:
-    """How many seconds after its last maintenance a host is due, so that a round ends in time."""
+    """Return the seconds since its last maintenance after which a host is due.
+
+    It leaves enough time for a whole round within the maintenance period.
+    """
     round_s = _sequential_round_s(fleet) / max_hosts_out(fleet)
     return (
         fleet.policy["maintain_every_s"] * (1 - PERIOD_RESERVE_SHARE) - round_s * ROUND_TIME_FACTOR
@@ -279,7 +290,7 @@
 
 
 def _sequential_round_s(fleet: Fleet) -> float:
-    """Seconds that a round would take with one host out at a time."""
+    """Return the seconds that a round takes with one host out at a time."""
     groups = fleet.groups_by_name.values()
     drain_s = sum(g.size * g.requirement.drain_s for g in groups)
     return len(fleet.hosts_by_id) * fleet.policy["reboot_s"] + drain_s
@@ -288,9 +299,12 @@
 def next_steps(
     *, state: Any, wave: WaveState | None, now: float, settings: CapacitySettings
 ) -> list[Step]:
-    """Decide the next steps of one wave alone, or of the standing one when ``wave`` is None.
+    """Plan the next steps with one started wave, or with the standing wave only if it is None.
 
     :param state: the folded state.
+    :param wave: the wave started by an operator.
+    :param now: seconds since the epoch.
+    :param settings: the settings with the time limit for a host's return from a reboot.
     :rtype: list[Step]
     """
     fleet = Fleet(declarations_by_key=state.declarations_by_key, hosts=state.hosts_by_name.values())
@@ -301,7 +315,10 @@
 
 
 def _is_in_domains(domains: set[str], group: Group, host: HostState) -> bool:
-    """Whether a host stands in one of these domains: there it lets others go, one at a time."""
+    """Whether a host is in one of these failure domains.
+
+    A stand-in there lets the group lose the domain's other hosts one at a time.
+    """
     return domain_of(host["facts"], group.requirement.survive) in domains
 
 
