--- a/mustardgap/wave_rules.py
+++ b/mustardgap/wave_rules.py
@@ -1,4 +1,4 @@
-"""The rule for steps of maintenance waves."""
+"""Fold rule for the steps of maintenance waves."""
 
 from . import status_codes
 from .models import WaveBody, WaveState
@@ -15,7 +15,10 @@
 
 
 def check(state: State, step: WaveBody) -> Rejected | None:
-    """Whether a step of a wave is accepted; None when it is."""
+    """Check a step of a wave.
+
+    :return: why the step is rejected, or None if it is accepted.
+    """
     wave = state.waves_by_name.get(step["wave"])
     if step["step"] == "start":
         return _start_error(state, step, wave)
@@ -23,7 +26,7 @@
 
 
 def put(state: State, step: WaveBody, offset: int) -> None:
-    """Take in an accepted step of a wave."""
+    """Apply an accepted step of a wave to the state."""
     state.put_wave(_next(state, step, state.waves_by_name.get(step["wave"])))
 
 
