--- a/mustardgap/waves.py
+++ b/mustardgap/waves.py
@@ -20,16 +20,17 @@
 from .states import domain_of
 
 STANDING_WAVE = "standing"
-# A round maintains every host of the fleet once. So many hosts may be out at once that a round takes
-# at most this share of the maintenance period.
+# A round maintains every host of the fleet once. The limit of hosts out at once is set so that a
+# round takes at most this share of the maintenance period.
 MAX_ROUND_SHARE = 0.4
-# Hosts are due so early that a round can take this many times its expected time and still be in time.
+# Hosts are due so early that a round can take this many times its expected time and still end
+# within the maintenance period.
 ROUND_TIME_FACTOR = 1.25
 # This share of the maintenance period is left after the end of such a slow round.
 PERIOD_RESERVE_SHARE = 0.1
 # When one host of a service is due, its other hosts are maintained along with it if the time since
-# their last maintenance is above this share of the due age. Otherwise the service would need another
-# stand-in for each of them.
+# their last maintenance is above this share of the due age. Otherwise the service would need
+# another stand-in for each of them.
 INCLUDE_AGE_SHARE = 0.5
 
 
