--- a/mustardgap/waves.py
+++ b/mustardgap/waves.py
@@ -19,6 +19,7 @@
 from .settings import CapacitySettings
 from .states import domain_of
 
+# Names the wave that maintains hosts as their period requires it, without an operator.
 STANDING_WAVE = "standing"
 # A round maintains every host of the fleet once. The limit of hosts out at once is set so that a
 # round takes at most this share of the maintenance period.
@@ -29,8 +30,8 @@
 # This share of the maintenance period is left after the end of such a slow round.
 PERIOD_RESERVE_SHARE = 0.1
 # When one host of a service is due, its other hosts are maintained along with it if the time since
-# their last maintenance is above this share of the due age. Otherwise the service would need
-# another stand-in for each of them.
+# their last maintenance is above this share of the due age. So maintenance of the service doesn't
+# begin anew for each of them.
 INCLUDE_AGE_SHARE = 0.5
 
 
@@ -280,7 +281,7 @@
 
 
 def due_age_s(fleet: Fleet) -> float:
-    """Return the seconds since its last maintenance after which a host is due.
+    """Return how many seconds after its last maintenance a host is due again.
 
     It leaves enough time for a whole round within the maintenance period.
     """
