--- a/mustardgap/planners.py
+++ b/mustardgap/planners.py
@@ -91,7 +91,7 @@
             cancel_overdue_drains(draft)
             shrink_pools(draft)
             fill_short_groups(draft)
-            waves.proceed()
+            waves.plan_steps()
             release_surplus(draft, waves)
             assign_emptied_to_spare(draft)
         finally:
@@ -221,7 +221,8 @@
     fleet = draft.fleet
     shrinks_buffer = draft.weights.buffer > draft.weights.move and not waves.held_names
     missing_spares = (
-        fleet.policy["spare_hosts"] - fleet.free_count - draft.emptying_count - waves.lent
+        fleet.policy["spare_hosts"] - fleet.free_count - draft.emptying_count - waves.active_group_count
+    )
     )
     groups = [fleet.groups_by_name[name] for name in fleet.surplus_group_names]
     for group in sorted(groups, key=least_urgent_first):
--- a/mustardgap/wave_rules.py
+++ b/mustardgap/wave_rules.py
@@ -1,4 +1,4 @@
-"""The rule for steps of maintenance waves."""
+"""Fold rule for the steps of maintenance waves."""
 
 from . import status_codes
 from .models import WaveBody, WaveState
@@ -15,7 +15,10 @@
 
 
 def check(state: State, step: WaveBody) -> Rejected | None:
-    """Whether a step of a wave is accepted; None when it is."""
+    """Check a step of a wave.
+
+    :return: why the step is rejected, or None if it is accepted.
+    """
     wave = state.waves_by_name.get(step["wave"])
     if step["step"] == "start":
         return _start_error(state, step, wave)
@@ -23,7 +26,7 @@
 
 
 def put(state: State, step: WaveBody, offset: int) -> None:
-    """Take in an accepted step of a wave."""
+    """Apply an accepted step of a wave to the state."""
     state.put_wave(_next(state, step, state.waves_by_name.get(step["wave"])))
 
 
@@ -36,9 +39,9 @@
         detail = f"no host {unknown[0]}" if unknown else "a wave needs hosts"
         return Rejected(code=status_codes.UNKNOWN_HOST, detail=detail)
     for other in state.waves_by_name.values():
-        both = sorted(hosts.intersection(other["hosts"]))
-        if both and other["phase"] != "finished":
-            return wrong_phase(f"{both[0]} is in wave {other['wave']} already")
+        shared = sorted(hosts.intersection(other["hosts"]))
+        if shared and other["phase"] != "finished":
+            return wrong_phase(f"{shared[0]} is in wave {other['wave']} already")
     return None
 
 
