--- a/mustardgap/planners.py
+++ b/mustardgap/planners.py
@@ -221,8 +221,10 @@
     fleet = draft.fleet
     shrinks_buffer = draft.weights.buffer > draft.weights.move and not waves.held_names
     missing_spares = (
-        fleet.policy["spare_hosts"] - fleet.free_count - draft.emptying_count - waves.active_group_count
-    )
+        fleet.policy["spare_hosts"]
+        - fleet.free_count
+        - draft.emptying_count
+        - waves.active_group_count
     )
     groups = [fleet.groups_by_name[name] for name in fleet.surplus_group_names]
     for group in sorted(groups, key=least_urgent_first):
