--- a/mustardgap/actors.py
+++ b/mustardgap/actors.py
@@ -13,7 +13,7 @@
 from .job_actors import JobActor
 from .members import Members
 from .models import LogRecord, TaskInfo
-from .operations import ACTION_S, MAX_ACTIONS, Operations, count
+from .operations import ACTION_TIMEOUT_S, MAX_ACTIONS, Operations, count
 from .outcomes import Accepted, Verdict
 from .placers import Placer
 from .plan_actors import PlanActor
@@ -125,7 +125,7 @@
         """Begin nothing more and wait for the steps under way, as before a planned stop."""
         self._is_stopping = True
         if self._under_way:
-            await asyncio.wait(list(self._under_way.values()), timeout=ACTION_S)
+            await asyncio.wait(list(self._under_way.values()), timeout=ACTION_TIMEOUT_S)
 
     def look_at_all(self) -> None:
         """Look at everything anew."""
--- a/mustardgap/departures.py
+++ b/mustardgap/departures.py
@@ -6,7 +6,7 @@
 from .gossip import Gossiper
 from .members import Member
 
-KIND = "leaving"
+NOTICE_KIND = "leaving"
 
 
 class Departures:
@@ -22,11 +22,11 @@
     def __init__(self, *, executors: Executors, gossiper: Gossiper) -> None:
         self.executors = executors
         self.gossiper = gossiper
-        executors.on_leaving(self._tell)
-        gossiper.on_notice(KIND, self._hear)
+        executors.on_leaving(self._publish)
+        gossiper.on_notice(NOTICE_KIND, self._on_notice)
 
-    def _tell(self, executor: str) -> None:
-        self.gossiper.publish(KIND, executor, True, ttl_s=LEAVING_TTL_S, urgent=True)
+    def _publish(self, executor: str) -> None:
+        self.gossiper.publish(NOTICE_KIND, executor, True, ttl_s=LEAVING_TTL_S, urgent=True)
 
-    def _hear(self, executor: str, value: Any, sender: Member) -> None:
+    def _on_notice(self, executor: str, value: Any, sender: Member) -> None:
         self.executors.leaving(executor, told=True)
--- a/mustardgap/host_rules.py
+++ b/mustardgap/host_rules.py
@@ -29,7 +29,7 @@
 
 def put(state: State, step: HostBody, offset: int) -> None:
     """Take in an accepted step of a host."""
-    state.put_host(_next(state, step, state.hosts_by_name.get(step["host"])))
+    state.put_host(_next_state(state, step, state.hosts_by_name.get(step["host"])))
 
 
 def _register_error(step: HostBody) -> Rejected | None:
@@ -49,7 +49,7 @@
     if step["phase"] == "failed" and host["phase"] != "failed":
         # That a host failed is a fact and no budget can turn it down, but it stays in its pool.
         return _pool_error(step, host)
-    if not _allowed(step, host):
+    if not _is_allowed(step, host):
         return wrong_phase(f"{host['host']} is {host['phase']} and can't become {step['phase']}")
     rejected = _pool_error(step, host)
     if rejected is None and step["phase"] in ("draining", "set_aside"):
@@ -57,7 +57,7 @@
     return rejected
 
 
-def _allowed(step: HostBody, host: HostState) -> bool:
+def _is_allowed(step: HostBody, host: HostState) -> bool:
     if step["phase"] in NEXT_PHASES[host["phase"]]:
         return True
     # A spare host may wait in service and joins its pool from there.
@@ -83,16 +83,16 @@
         return None
     if state.value("pool", pool) is None:
         return Rejected(code=status_codes.REFERENCE_MISSING, detail=f"no pool {pool} is declared")
-    held = host is not None and host["pool"] == pool and host["phase"] == "draining"
-    if step["phase"] == "in_service" and not held and room_left(state, pool) < 1:
+    has_place = host is not None and host["pool"] == pool and host["phase"] == "draining"
+    if step["phase"] == "in_service" and not has_place and room_left(state, pool) < 1:
         detail = f"pool {pool} or its service holds as many hosts as it may"
         return Rejected(code=status_codes.ROOM_EXCEEDED, detail=detail)
     return None
 
 
-def _next(state: State, step: HostBody, host: HostState | None) -> HostState:
-    returned = host is not None and host["phase"] == "rebooting"
-    returned = returned and step["phase"] in ("in_service", "drained")
+def _next_state(state: State, step: HostBody, host: HostState | None) -> HostState:
+    is_maintained = host is not None and host["phase"] == "rebooting"
+    is_maintained = is_maintained and step["phase"] in ("in_service", "drained")
     facts = step["facts"] if host is None else host["facts"]
     if "facts" in step and host is not None and host["phase"] != "in_service":
         facts = step["facts"]
@@ -105,6 +105,6 @@
         phase=step["phase"],
         reason=step["reason"],
         since=state.time,
-        maintained=state.time if host is None or returned else host["maintained"],
+        maintained=state.time if host is None or is_maintained else host["maintained"],
         wave=step.get("wave", wave),
     )
--- a/mustardgap/job_actors.py
+++ b/mustardgap/job_actors.py
@@ -115,7 +115,7 @@
             return
         if attempt_of(job) is not None or step == StepTask("stop"):
             self.duties.take(f"job/{name}")
-            await self._take(step, job, self.operations.begin())
+            await self._take(step, job, self.operations.issue_ticket())
 
     def _wanted(self, job: JobState) -> JobStep | None:
         if attempt_of(job) is not None:
@@ -199,7 +199,7 @@
     async def _(self, step: Start, job: JobState, ticket: Ticket) -> None:
         attempt = job["attempts"][-1]
         try:
-            self.operations.confirm(ticket)
+            self.operations.check_ticket(ticket)
             result = await self.platform.start_task(
                 attempt["worker"],
                 task=task_id(job),
@@ -229,7 +229,7 @@
     async def _(self, step: StepTask, job: JobState, ticket: Ticket) -> None:
         operation = f"{job['job']}:{job['epoch']}:{step.step}"
         try:
-            self.operations.confirm(ticket)
+            self.operations.check_ticket(ticket)
             result = await self.platform.step_task(
                 task_id(job), operation=operation, epoch=job["epoch"], step=step.step
             )
--- a/mustardgap/operations.py
+++ b/mustardgap/operations.py
@@ -14,12 +14,12 @@
 from .workers import Workers
 
 # An action that takes longer is dropped and decided anew.
-ACTION_S = 10.0
+ACTION_TIMEOUT_S = 10.0
 # The platform's calls and the log's appends that one daemon has under way at once.
 MAX_ACTIONS = 32
 
 
-class Outdated(MustardgapError):
+class OutdatedError(MustardgapError):
     """What was decided no longer holds; nothing was done."""
 
     def __init__(self, *, detail: str) -> None:
@@ -29,8 +29,8 @@
 class Ticket(NamedTuple):
     """Leave to act on the views as they are now, for a short time."""
 
-    generation: int
-    until: float
+    gap_count: int
+    expires_at: float
 
 
 class WorkerCalls(Protocol):
@@ -72,9 +72,9 @@
         self.settings = settings
         self.timers = timers
         self.timeline = timeline
-        self.generation = 0
-        self._gap_at = float("-inf")
-        self._lost: set[str] = set()
+        self.gap_count = 0
+        self._last_gap_at = float("-inf")
+        self._unanswered_ids: set[str] = set()
         timers.on_gap(self._note_gap)
 
     def may_begin(self) -> bool:
@@ -86,22 +86,22 @@
         """
         self.timers.check_gap()
         age = max(self.log.fresh_s(), self.workers.age_s())
-        since_gap = self.timers.clock.monotonic() - self._gap_at
+        since_gap = self.timers.clock.monotonic() - self._last_gap_at
         return age <= self.settings.platform.stale_after_s and age < since_gap
 
-    def begin(self) -> Ticket:
+    def issue_ticket(self) -> Ticket:
         """Take a ticket for one action."""
-        return Ticket(self.generation, self.timers.clock.monotonic() + ACTION_S)
+        return Ticket(self.gap_count, self.timers.clock.monotonic() + ACTION_TIMEOUT_S)
 
-    def confirm(self, ticket: Ticket) -> None:
+    def check_ticket(self, ticket: Ticket) -> None:
         """Check a ticket; to be called right before each call that changes something.
 
-        :raises Outdated: the process was frozen since, or the action took too long.
+        :raises OutdatedError: the process was frozen since, or the action took too long.
         """
         self.timers.check_gap()
-        late = self.timers.clock.monotonic() > ticket.until
-        if late or ticket.generation != self.generation:
-            raise Outdated(detail="the process was frozen, or the action took too long")
+        is_expired = self.timers.clock.monotonic() > ticket.expires_at
+        if is_expired or ticket.gap_count != self.gap_count:
+            raise OutdatedError(detail="the process was frozen, or the action took too long")
 
     async def write(self, ticket: Ticket, kind: str, body: object) -> Verdict | None:
         """Write a record that carries its base epoch.
@@ -110,7 +110,7 @@
             shows what became of it.
         """
         try:
-            self.confirm(ticket)
+            self.check_ticket(ticket)
             verdict = await self.log.write(
                 kind, body, timeout_s=self.settings.platform.stale_after_s, purpose="actions"
             )
@@ -134,31 +134,34 @@
         operation = operation_id(host, kind, boot)
         name, epoch = host["host"], host["epoch"]
         try:
-            if operation in self._lost and await self.platform.operation(operation) is not None:
-                self._lost.discard(operation)
+            if (
+                operation in self._unanswered_ids
+                and await self.platform.operation(operation) is not None
+            ):
+                self._unanswered_ids.discard(operation)
                 count(kind, "found")
                 return
-            self.confirm(ticket)
+            self.check_ticket(ticket)
             current = self.log.state.hosts_by_name.get(name)
             if current is None or current["epoch"] != epoch:
-                raise Outdated(detail=f"{name} has left epoch {epoch}")
+                raise OutdatedError(detail=f"{name} has left epoch {epoch}")
             result = await self.platform.operate(
                 name, operation=operation, kind=kind, epoch=epoch, pool=pool
             )
         except AnswerLost as exc:
-            self._lost.add(operation)
+            self._unanswered_ids.add(operation)
             count(kind, exc.code.name)
             return
         except MustardgapError as exc:
             count(kind, exc.code.name)
             return
-        self._lost.discard(operation)
+        self._unanswered_ids.discard(operation)
         count(kind, result)
         self.timeline.add(
             f"host.{kind}", cause=host["reason"], host=name, epoch=epoch, result=result
         )
 
-    async def ended(self, host: HostState, kind: OperationKind) -> bool | None:
+    async def has_ended(self, host: HostState, kind: OperationKind) -> bool | None:
         """Whether an operation of this epoch has ended; None when it was never accepted.
 
         :raises PlatformError: the platform can't be asked.
@@ -166,10 +169,10 @@
         found = await self.platform.operation(operation_id(host, kind, 0))
         return None if found is None else found.state != "running"
 
-    def _note_gap(self, lost_s: float) -> None:
-        self.generation += 1
-        self._gap_at = self.timers.clock.monotonic()
-        self.timeline.add("actors.gap", cause=f"the process didn't run for {lost_s:.1f} s")
+    def _note_gap(self, gap_s: float) -> None:
+        self.gap_count += 1
+        self._last_gap_at = self.timers.clock.monotonic()
+        self.timeline.add("actors.gap", cause=f"the process didn't run for {gap_s:.1f} s")
 
 
 def operation_id(host: HostState, kind: str, boot: int) -> str:
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -199,7 +199,7 @@
         self.duties.drop(KEY)
 
     async def _write(self, decision: Decision) -> None:
-        ticket = self.operations.begin()
+        ticket = self.operations.issue_ticket()
         if isinstance(decision, SetAside):
             host = self.state.hosts_by_name[decision.worker]
             body = host_body(host, "set_aside", host["pool"], decision.why)
--- a/mustardgap/registrars.py
+++ b/mustardgap/registrars.py
@@ -4,7 +4,7 @@
 
 from . import status_codes
 from .duties import Duties
-from .host_actors import DOWN_REASON, host_body
+from .host_actors import DOWN_REASON_PREFIX, host_body
 from .models import HostBody, HostFacts, HostState, Phase, WorkerInfo
 from .operations import Operations
 from .outcomes import Rejected
@@ -76,7 +76,7 @@
     async def act(self, bodies: list[HostBody]) -> None:
         """Write records together."""
         self.duties.take(KEY)
-        ticket = self.operations.begin()
+        ticket = self.operations.issue_ticket()
         verdicts = await asyncio.gather(
             *(self.operations.write(ticket, "host", body) for body in bodies)
         )
@@ -120,7 +120,7 @@
         host = self.operations.log.state.hosts_by_name.get(name)
         if host is None:
             return None
-        reason = f"{DOWN_REASON}{host['phase']}: {host['reason']}"
+        reason = f"{DOWN_REASON_PREFIX}{host['phase']}: {host['reason']}"
         return host_body(host, "failed", host["pool"], reason)
 
 
