--- a/mustardgap/host_actors.py
+++ b/mustardgap/host_actors.py
@@ -1,4 +1,4 @@
-"""Carries out on the platform what the log says of hosts."""
+"""Carries out on the platform the host phases that the log records."""
 
 from functools import singledispatchmethod
 from typing import Any, NamedTuple
@@ -13,7 +13,8 @@
 from .outcomes import Rejected
 from .placements import PLAN_REASON_PREFIX
 
-# A daemon that hasn't folded a record for this long is not ready and takes no requests.
+# Longest wait until all members have folded a host's drain. A daemon that hasn't folded a record
+# for this long is not ready and takes no requests, so it can't send any to the host.
 MAX_FOLD_WAIT_S = 6.0
 TRANSITIONAL_PHASES: frozenset[Phase] = frozenset({"draining", "rebooting"})
 DOWN_REASON_PREFIX = "down while "
@@ -28,7 +29,7 @@
 
 
 class EnterPhase(NamedTuple):
-    """Write that the host enters a phase."""
+    """Write a record that moves the host to a phase."""
 
     phase: Phase
     pool: str
@@ -36,7 +37,10 @@
 
 
 class Reboot(NamedTuple):
-    """Reboot the worker once, and write when it is back."""
+    """Reboot the worker once, and write a record when it is up again.
+
+    :param has_returned: whether the worker is up.
+    """
 
     has_returned: bool
 
@@ -45,10 +49,11 @@
 
 
 def next_step(host: HostState, worker: WorkerInfo | None) -> HostStep | None:
-    """Decide the next step of a host from the log and the platform's view; None for none.
+    """Decide the next step of a host from the log and the platform's view.
 
     :param host: the host as folded.
-    :param worker: the worker as last seen, None when the platform doesn't list it.
+    :param worker: the worker as last polled, None when the platform doesn't list it.
+    :return: the step, or None when there is nothing to do.
     """
     if worker is None or worker["state"] == "down":
         return None
@@ -63,7 +68,8 @@
         return StartOperation("drain", boot=worker["boot"])
     if phase == "draining" and worker["state"] == "drained":
         if worker["epoch"] < host["epoch"]:
-            # An undrain of an earlier epoch may still be under way; this drain fences it.
+            # An undrain of an earlier epoch may still be in flight; a drain under this epoch
+            # fences it.
             return StartOperation("drain", boot=worker["boot"])
         return EnterPhase("drained", host["pool"], host["reason"])
     return None
@@ -81,8 +87,8 @@
     elif worker["pool"] != pool:
         return StartOperation("drain", boot=worker["boot"])
     if worker["epoch"] < host["epoch"] - 1:
-        # A drain of an earlier epoch that a frozen daemon still holds would take the host out of
-        # service; once the platform has seen this epoch, it is turned down.
+        # A frozen daemon may still send a drain of an earlier epoch, which would take the host out
+        # of service; the platform rejects that drain once it has seen this epoch.
         return StartOperation("assign", pool, worker["boot"])
     return None
 
@@ -100,17 +106,17 @@
         return None
     reason = host["reason"]
     if reason.startswith((f"{DOWN_REASON_PREFIX}draining: ", f"{DOWN_REASON_PREFIX}drained: ")):
-        # It was on its way out when it went down, and somebody still wants it out.
+        # The host was being drained, or was drained, when it went down; that drain still applies.
         return EnterPhase("drained", host["pool"], reason.split(": ", 1)[1])
     return EnterPhase("in_service", host["pool"], "back")
 
 
 class HostActor:
-    """Takes the steps of hosts that are this daemon's to take.
+    """Takes the steps of hosts that are this daemon's duty.
 
     :param operations: writes records and starts operations.
-    :param members: the members and what they have folded.
-    :param duties: says whose turn it is.
+    :param members: the members and the offsets that they have folded.
+    :param duties: decides which member acts.
     """
 
     def __init__(self, *, operations: Operations, members: Members, duties: Duties) -> None:
@@ -128,15 +134,18 @@
         return self.operations.log
 
     def look_at(self, hosts: set[str]) -> None:
-        """Look at these hosts again, as something has changed there."""
+        """Queue hosts for a new decision after a change.
+
+        :param hosts: the names of the hosts.
+        """
         self._look_at |= hosts
 
     def look_at_all(self) -> None:
-        """Look at all hosts again."""
+        """Queue all hosts for a new decision."""
         self._look_at |= self.log.state.hosts_by_name.keys()
 
     def due(self) -> list[tuple[str, HostStep]]:
-        """The steps that this daemon should take now, by host."""
+        """Return the steps that this daemon should take now, with the names of their hosts."""
         due_steps = []
         for name in sorted(self._look_at | self._hosts_in_transition):
             host = self.log.state.hosts_by_name.get(name)
@@ -154,7 +163,11 @@
         return due_steps
 
     async def act(self, name: str, step: HostStep) -> None:
-        """Take one step of a host."""
+        """Take one step of a host.
+
+        :param name: the host.
+        :param step: the step.
+        """
         host = self.log.state.hosts_by_name.get(name)
         if host is not None:
             self.duties.take(f"host/{name}")
@@ -164,8 +177,8 @@
         worker = self.operations.workers.by_id.get(host["host"])
         step = next_step(host, worker)
         if host["phase"] == "draining" and not self._folded_by_all(host):
-            # An entry host that hasn't heard of the drain would still send requests there. They
-            # would be refused and sent elsewhere, but not for longer than this wait.
+            # An entry host that hasn't folded the drain still sends requests to this host; they are
+            # refused and retried elsewhere. MAX_FOLD_WAIT_S bounds how long that can last.
             return None
         return self._overdue_step(host, worker) if step is None else step
 
@@ -197,7 +210,8 @@
         elif ended is None and worker["state"] == "drained":
             await self.operations.operate(ticket, host, "reboot")
         elif ended is None and worker["state"] == "up":
-            # It lost its power while it was empty, and came back up: what runs there would be cut.
+            # The worker lost power while it was empty and came back up. It may run requests again,
+            # which a reboot would cut off, so it is drained first.
             await self.operations.operate(ticket, host, "drain", boot=worker["boot"])
 
     async def _enter_phase(self, host: HostState, step: EnterPhase) -> None:
@@ -208,8 +222,9 @@
         if not isinstance(verdict, Rejected) or verdict.code not in no_place_codes:
             return
         if host["phase"] in ("failed", "rebooting"):
-            # While it was away its place was filled, or its pool taken away. Without this it would
-            # be refused until it counts as one that never returned; as a free host it is of use.
+            # While the host was down another host took its place, or its pool was removed. Without
+            # this record its return would be refused until the host counts as one that never
+            # returned; as a drained host it can be assigned again.
             pool = "" if host["phase"] == "failed" else host["pool"]
             body = host_body(host, "drained", pool, f"{PLAN_REASON_PREFIX}its place was filled")
             body["wave"] = ""
@@ -222,7 +237,10 @@
         return all(member.offset >= offset for member in self.members.live())
 
     def _epoch_first_seen(self, host: HostState) -> tuple[int, float]:
-        """The offset at which this daemon first saw the host's epoch, and how long ago."""
+        """Return when this daemon first saw the host's epoch.
+
+        :return: the log offset at that time, and the seconds since then.
+        """
         now = self.operations.timers.clock.monotonic()
         first_seen = self._first_seen_by_host.get(host["host"])
         if first_seen is None or first_seen[0] != host["epoch"]:
@@ -256,7 +274,10 @@
         return profile["disruption"]["drain_s"] if profile else settings.return_timeout_s
 
     def _overdue_step(self, host: HostState, worker: WorkerInfo | None) -> HostStep | None:
-        """Bound a drain that the planner asked for, and a reboot; of waves the planner does it."""
+        """Return the step that ends an overdue reboot or an overdue drain by the planner.
+
+        Hosts of a wave are left out, as the planner bounds their drains and reboots.
+        """
         waited_s = self._phase_age_s(host)
         if worker is None or host["wave"] or waited_s <= self._phase_limit_s(host):
             return None
@@ -273,7 +294,7 @@
         return self.operations.timers.clock.wall() - host["since"]
 
     def _report_overdue(self, host: HostState) -> None:
-        """Tell once of a host that won't drain or won't return."""
+        """Report an overdue drain or reboot, once for each epoch of the host."""
         if self._reported_epochs.get(host["host"]) == host["epoch"]:
             return
         if self._phase_age_s(host) <= self._phase_limit_s(host):
@@ -290,7 +311,7 @@
 def host_body(
     host: HostState, phase: Phase, pool: str, reason: str, wave: str | None = None
 ) -> HostBody:
-    """Make a host's step on the epoch it is in."""
+    """Build the record of a host's step, based on its current epoch."""
     body = HostBody(host=host["host"], base=host["epoch"], phase=phase, pool=pool, reason=reason)
     if wave:
         body["wave"] = wave
