--- a/mustardgap/host_rules.py
+++ b/mustardgap/host_rules.py
@@ -1,4 +1,7 @@
-"""The rule for steps of hosts: one record a host, so it is in one pool at any offset."""
+"""Validates and applies steps of hosts.
+
+Each host has one record, so it is in one pool at any offset of the log.
+"""
 
 from . import status_codes
 from .budgets import may_drain, room_left
@@ -16,25 +19,28 @@
     "failed": frozenset({"in_service", "drained", "rebooting", "set_aside"}),
     "set_aside": frozenset({"in_service", "drained", "rebooting", "failed"}),
 }
-# A host in one of these runs nothing of its pool any more.
+# In these phases a host no longer runs work of its pool.
 OUT_OF_POOL: frozenset[Phase] = frozenset({"drained", "failed", "set_aside"})
 
 
 def check(state: State, step: HostBody) -> Rejected | None:
-    """Whether a step of a host is accepted; None when it is."""
+    """Check a step of a host against the state.
+
+    :return: the rejection, or None when the step is accepted.
+    """
     host = state.hosts_by_name.get(step["host"])
     rejected = _register_error(step) if host is None else _step_error(state, step, host)
     return rejected or _join_error(state, step, host)
 
 
 def put(state: State, step: HostBody, offset: int) -> None:
-    """Take in an accepted step of a host."""
+    """Apply an accepted step of a host to the state."""
     state.put_host(_next_state(state, step, state.hosts_by_name.get(step["host"])))
 
 
 def _register_error(step: HostBody) -> Rejected | None:
-    # Any base will do: a host that was forgotten goes on from the platform's epoch, so that the
-    # platform's fencing holds on.
+    # Any base from 0 is accepted: a host that was removed from the state continues from the
+    # platform's epoch, so that the platform still fences its earlier operations.
     if step["base"] < 0 or "facts" not in step:
         detail = f"{step['host']} is new and needs its facts and a base of 0 or more"
         return Rejected(code=status_codes.UNKNOWN_HOST, detail=detail)
@@ -47,7 +53,7 @@
     if step["base"] != host["epoch"]:
         return stale(f"host/{host['host']}", step["base"], host["epoch"])
     if step["phase"] == "failed" and host["phase"] != "failed":
-        # That a host failed is a fact and no budget can turn it down, but it stays in its pool.
+        # A failure has already happened, so no budget can reject it; the host stays in its pool.
         return _pool_error(step, host)
     if not _is_allowed(step, host):
         return wrong_phase(f"{host['host']} is {host['phase']} and can't become {step['phase']}")
@@ -60,7 +66,7 @@
 def _is_allowed(step: HostBody, host: HostState) -> bool:
     if step["phase"] in NEXT_PHASES[host["phase"]]:
         return True
-    # A spare host may wait in service and joins its pool from there.
+    # A spare host may be in service without a pool, and joins a pool from there.
     return step["phase"] == "in_service" and host["pool"] == "" and step["pool"] != ""
 
 
