--- a/mustardgap/operations.py
+++ b/mustardgap/operations.py
@@ -1,4 +1,7 @@
-"""Operations on the platform that survive lost answers, doubled actors and freezes."""
+"""Starts operations on the platform.
+
+They stay correct when an answer is lost, when two daemons act at once and when the process freezes.
+"""
 
 from typing import NamedTuple, Protocol
 
@@ -13,21 +16,25 @@
 from .timers import Timers
 from .workers import Workers
 
-# An action that takes longer is dropped and decided anew.
+# An action that takes longer is dropped and decided again.
 ACTION_TIMEOUT_S = 10.0
-# The platform's calls and the log's appends that one daemon has under way at once.
+# Limit of platform calls and log appends that one daemon has in flight at once.
 MAX_ACTIONS = 32
 
 
 class OutdatedError(MustardgapError):
-    """What was decided no longer holds; nothing was done."""
+    """The state behind a decision has changed, so the action was not carried out."""
 
     def __init__(self, *, detail: str) -> None:
         super().__init__(code=status_codes.STALE_EPOCH, detail=detail)
 
 
 class Ticket(NamedTuple):
-    """Leave to act on the views as they are now, for a short time."""
+    """Permission to act on the current log and platform views for a short time.
+
+    :param gap_count: process gaps that had been detected when the ticket was issued.
+    :param expires_at: monotonic time at which the ticket expires.
+    """
 
     gap_count: int
     expires_at: float
@@ -42,18 +49,18 @@
         """Start an operation."""
 
     async def operation(self, operation: str) -> Operation | None:
-        """Ask about an operation."""
+        """Return an operation, or None when the platform doesn't know it."""
 
 
 class Operations:
-    """Writes records and starts operations, each only while its ticket holds.
+    """Writes records and starts operations, each only while its ticket is valid.
 
     :param platform: the platform.
     :param log: the state stream.
-    :param workers: the polled view.
+    :param workers: the polled view of the workers.
     :param settings: the daemon's settings.
     :param timers: the timer service.
-    :param timeline: where steps are noted.
+    :param timeline: records the steps taken.
     """
 
     def __init__(
@@ -78,11 +85,11 @@
         timers.on_gap(self._note_gap)
 
     def may_begin(self) -> bool:
-        """Whether the log and the platform were read lately, and since the last freeze.
+        """Return whether the log and the platform were read recently, and since the last freeze.
 
-        A daemon that was frozen, or is cut off, decides on what others have changed meanwhile:
-        it would take steps that were undone long ago. The epochs would stop most of them; this
-        stops them before they are begun.
+        A daemon that was frozen or is partitioned decides on an outdated view and would repeat
+        steps that others have since undone. Epochs reject most of these steps; this check
+        prevents them before they start.
         """
         self.timers.check_gap()
         age = max(self.log.fresh_s(), self.workers.age_s())
@@ -90,13 +97,14 @@
         return age <= self.settings.platform.stale_after_s and age < since_gap
 
     def issue_ticket(self) -> Ticket:
-        """Take a ticket for one action."""
+        """Issue a ticket for one action."""
         return Ticket(self.gap_count, self.timers.clock.monotonic() + ACTION_TIMEOUT_S)
 
     def check_ticket(self, ticket: Ticket) -> None:
-        """Check a ticket; to be called right before each call that changes something.
+        """Check that a ticket is still valid; call this right before each call with side effects.
 
-        :raises OutdatedError: the process was frozen since, or the action took too long.
+        :raises OutdatedError: the process was frozen after the ticket was issued, or the ticket has
+            expired.
         """
         self.timers.check_gap()
         is_expired = self.timers.clock.monotonic() > ticket.expires_at
@@ -106,8 +114,8 @@
     async def write(self, ticket: Ticket, kind: str, body: object) -> Verdict | None:
         """Write a record that carries its base epoch.
 
-        :return: the verdict, or None when the log has not told it; the next look at the state
-            shows what became of it.
+        :return: the verdict, or None when it is unknown, as after a lost answer; the folded state
+            shows later whether the record was accepted.
         """
         try:
             self.check_ticket(ticket)
@@ -128,8 +136,8 @@
     ) -> None:
         """Start an operation on a worker under its host's epoch.
 
-        The id names host, epoch, kind and boot, so that repeats by any daemon are one operation;
-        after a lost answer the platform is asked before the operation is sent again.
+        The id consists of host, epoch, kind and boot, so repeats by any daemon count as one
+        operation. After a lost answer the platform is queried before the operation is sent again.
         """
         operation = operation_id(host, kind, boot)
         name, epoch = host["host"], host["epoch"]
@@ -162,9 +170,10 @@
         )
 
     async def has_ended(self, host: HostState, kind: OperationKind) -> bool | None:
-        """Whether an operation of this epoch has ended; None when it was never accepted.
+        """Return whether an operation of this epoch has ended.
 
-        :raises PlatformError: the platform can't be asked.
+        :return: None when the platform never accepted the operation.
+        :raises PlatformError: the platform can't be queried.
         """
         found = await self.platform.operation(operation_id(host, kind, 0))
         return None if found is None else found.state != "running"
@@ -176,14 +185,19 @@
 
 
 def operation_id(host: HostState, kind: str, boot: int) -> str:
-    """Name an operation; a reboot (boot 0) is one an epoch, whoever asks and however often.
+    """Build the id of an operation.
 
-    A drain names the boot as well: a worker that lost its power comes back up, and must be drained
-    again under the same epoch.
+    A reboot always has boot 0, so there is at most one in an epoch, whichever daemons send it.
+    The id of a drain includes the boot, as a worker that lost power comes back up and must be
+    drained again under the same epoch.
     """
     return f"{host['host']}:{host['epoch']}:{kind}:{boot}"
 
 
 def count(kind: str, result: str) -> None:
-    """Count one step."""
+    """Count one step in the metrics.
+
+    :param kind: the kind of step.
+    :param result: its result.
+    """
     metrics.actor_steps.add(1, {"kind": kind, "result": result})
