--- a/mustardgap/plan_actors.py
+++ b/mustardgap/plan_actors.py
@@ -1,4 +1,4 @@
-"""Turns the planner's steps into records, and tries again later what the fold turned down."""
+"""Writes the planner's steps as records, and retries rejected steps after a delay."""
 
 import asyncio
 from collections.abc import Collection
@@ -30,11 +30,11 @@
 class PlanActor:
     """Plans on the folded state and writes the steps.
 
-    Every daemon follows the log with its planner; the first for the key writes, and the next one
-    does when the same steps are still wanted after a while.
+    Every daemon runs a planner on the log. The first member in rank writes the steps; the next
+    one takes over when the planned steps stay the same for `capacity.takeover_s`.
 
     :param operations: writes records.
-    :param duties: says whose turn it is.
+    :param duties: decides which member acts.
     """
 
     def __init__(self, *, operations: Operations, duties: Duties) -> None:
@@ -50,12 +50,15 @@
         operations.log.on_restore(self._reset_planner)
 
     def leaving_workers(self, workers: Collection[str]) -> None:
-        """Take in which workers the platform's list shows as leaving on short notice."""
+        """Update which workers the platform lists as leaving on short notice.
+
+        :param workers: the names of the workers.
+        """
         now = self.operations.timers.clock.wall()
         self._leaving = {name: self._leaving.get(name, now) for name in workers}
 
     def due(self) -> Plan | None:
-        """A plan with steps for this daemon to write now."""
+        """Return a plan whose steps this daemon should write now, or None."""
         now = self.operations.timers.clock.monotonic()
         rank = self.duties.rank(DUTY_KEY)
         if rank is None or now - self._planned_at < self.operations.settings.capacity.plan_s:
@@ -75,7 +78,7 @@
         return plan if self.duties.is_due(DUTY_KEY, steps_and_waves) else None
 
     async def act(self, plan: Plan) -> None:
-        """Write the steps of a plan together."""
+        """Write all steps of a plan concurrently."""
         self.duties.take(DUTY_KEY)
         await asyncio.gather(
             *(self._write(step) for step in plan.steps),
@@ -106,7 +109,10 @@
         return [w for w in plan.finished if w in waves and waves[w]["phase"] != "finished"]
 
     def _schedule_retry(self, step: Step, verdict: Verdict | None) -> None:
-        """Put a step that was turned down off, each time for longer."""
+        """Delay the next attempt at a rejected step, twice as long after each rejection.
+
+        The delay is at most MAX_RETRY_S. A step on a stale base is not delayed.
+        """
         key = (step.host, step.base, step.kind)
         if not isinstance(verdict, Rejected) or verdict.code == status_codes.STALE_BASE:
             self._retry_by_step.pop(key, None)
@@ -121,7 +127,7 @@
         return self._retry_by_step.get((step.host, step.base, step.kind), (now, 0.0))[0] <= now
 
     def _report_changes(self, plan: Plan) -> None:
-        """Tell of waves and budgets that have to wait, once for each change."""
+        """Report waiting waves and problems of the plan, once for each change."""
         for wave, reason in plan.waiting.items():
             if self.waiting_waves.get(wave) != reason:
                 self.operations.timeline.add("wave.waits", cause=reason, wave=wave)
