--- a/mustardgap/departures.py
+++ b/mustardgap/departures.py
@@ -1,4 +1,7 @@
-"""Telling the other entry hosts which executors leave, so that all stop sending to them at once."""
+"""Tells the other entry hosts which executors are leaving.
+
+All entry hosts then stop sending requests to these executors at once.
+"""
 
 from typing import Any
 
@@ -10,10 +13,10 @@
 
 
 class Departures:
-    """Passes on by gossip what one entry host found out from an executor's answer.
+    """Spreads by gossip that an executor is leaving, as its answer showed to one entry host.
 
-    The word goes to all connected peers at once and, by the turns of gossip, to the rest; the log
-    takes no part in it.
+    The notice goes to all connected peers immediately and to the other peers in later gossip
+    rounds. It isn't written to the log.
 
     :param executors: which executors may be chosen.
     :param gossiper: the gossip with the peers.
