--- a/mustardgap/host_rules.py
+++ b/mustardgap/host_rules.py
@@ -1,6 +1,6 @@
 """Validates and applies steps of hosts.
 
-Each host has one record, so it is in one pool at any offset of the log.
+A step is one record about one host, so a host is in one pool at any offset of the log.
 """
 
 from . import status_codes
