--- a/mustardgap/departures.py
+++ b/mustardgap/departures.py
@@ -1,4 +1,7 @@
-"""Telling the other entry hosts which executors leave, so that all stop sending to them at once."""
+"""Tells the other entry hosts which executors are leaving.
+
+All entry hosts then stop sending requests to these executors at once.
+"""
 
 from typing import Any
 
@@ -6,14 +9,14 @@
 from .gossip import Gossiper
 from .members import Member
 
-KIND = "leaving"
+NOTICE_KIND = "leaving"
 
 
 class Departures:
-    """Passes on by gossip what one entry host found out from an executor's answer.
+    """Spreads by gossip that an executor is leaving, as its answer showed to one entry host.
 
-    The word goes to all connected peers at once and, by the turns of gossip, to the rest; the log
-    takes no part in it.
+    The notice goes to all connected peers immediately and to the other peers in later gossip
+    rounds. It isn't written to the log.
 
     :param executors: which executors may be chosen.
     :param gossiper: the gossip with the peers.
@@ -22,11 +25,11 @@
     def __init__(self, *, executors: Executors, gossiper: Gossiper) -> None:
         self.executors = executors
         self.gossiper = gossiper
-        executors.on_leaving(self._tell)
-        gossiper.on_notice(KIND, self._hear)
+        executors.on_leaving(self._publish)
+        gossiper.on_notice(NOTICE_KIND, self._on_notice)
 
-    def _tell(self, executor: str) -> None:
-        self.gossiper.publish(KIND, executor, True, ttl_s=LEAVING_TTL_S, urgent=True)
+    def _publish(self, executor: str) -> None:
+        self.gossiper.publish(NOTICE_KIND, executor, True, ttl_s=LEAVING_TTL_S, urgent=True)
 
-    def _hear(self, executor: str, value: Any, sender: Member) -> None:
+    def _on_notice(self, executor: str, value: Any, sender: Member) -> None:
         self.executors.mark_leaving(executor, from_peer=True)
