--- a/mustardgap/ownership.py
+++ b/mustardgap/ownership.py
@@ -1,4 +1,4 @@
-"""Who owns which slots: a pure function of the log's entry records, taken over safely."""
+"""Slot ownership: a pure function of the log's entry records, with a safe handover."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -15,16 +15,17 @@
 
 
 class Past(NamedTuple):
-    """Hosts that shared until ``until``; none named means that they aren't known here."""
+    """The owning hosts until monotonic time ``until``; empty if they aren't known here."""
 
     hosts: tuple[str, ...]
     until: float
 
 
 class Lapse(NamedTuple):
-    """What a run owned that ended without a leave, and when this daemon folded that.
+    """A run that ended without a leave record, and the owners among which it had slots.
 
-    It had lost the slots to others ``lost_s`` seconds earlier.
+    ``since`` is the monotonic time at which this daemon folded the end. The slots had passed to
+    other owners ``lost_s`` seconds earlier.
     """
 
     hosts: tuple[str, ...]
@@ -34,16 +35,17 @@
 
 
 class Ownership:
-    """The slots that this entry host owns, and which of them nobody else may use any more.
+    """The slots that this entry host owns, and which of them no other host can still be using.
 
-    A slot that comes into this host's hands may still be in use by who had it before. Two would
-    use it at once, and an executor get a ninth request. So it isn't usable before every joined
-    entry host, having folded the same record, has said that it neither uses nor lends it. Who is
-    gone can't say so; its slots wait until its last request is surely over.
+    The previous owner of a slot may still use it after the change. Two hosts would then use it at
+    once, and an executor would get a ninth request. The slot therefore becomes usable only when
+    every joined entry host has folded the same record and reported that it neither uses nor lends
+    the slot. A host that is gone can't report; its slots stay unusable until its last request must
+    have ended.
 
     :param state: the folded state.
     :param host: this entry host.
-    :param incarnation: gives this run's number.
+    :param incarnation: returns this run's number.
     :param clock: the clocks to read.
     """
 
@@ -66,10 +68,10 @@
         self._ranks: dict[tuple[tuple[str, ...], str], list[str]] = {}
 
     def refresh(self, *, whole: bool = False) -> bool:
-        """Look whether the folded state names other owners.
+        """Update the owners from the folded state.
 
-        :param whole: the state was taken over whole, and what happened in between isn't known.
-        :return: whether it does.
+        :param whole: the state comes from a snapshot; changes before it aren't known.
+        :return: whether the owners have to be taken as changed.
         """
         entries = self.state.entries_by_host
         joined = {h: e["incarnation"] for h, e in entries.items() if e["state"] == "joined"}
@@ -92,24 +94,24 @@
         return True
 
     def restart(self) -> None:
-        """Own nothing as a matter of course, as a new run."""
+        """Consider no slot usable, as a new run does."""
         self.usable.clear()
         self.answers_by_host.clear()
 
     def owner(self, slot_id: SlotId) -> str:
-        """The host that owns a slot, "" without any."""
+        """Return the host that owns a slot, or "" when there is no owner."""
         return self._owner(self.hosts, slot_id)
 
     def is_joined(self) -> bool:
-        """Whether this run is among the owners."""
+        """Return whether this run is among the owners."""
         return not self.is_leaving and self.joined.get(self.host) == self.incarnation()
 
     def others(self) -> set[str]:
-        """The ids of the other joined entry hosts."""
+        """Return the member ids of the other joined entry hosts."""
         return {f"{h}@{i:x}" for h, i in self.joined.items() if h != self.host}
 
     def take_settled(self, host: str, message: Settled) -> None:
-        """Take in what a joined entry host still uses or lends."""
+        """Apply a joined entry host's report of the slots that it still uses or lends."""
         if message.offset <= self.offset:
             return
         self.answers_by_host[host] = set(ids_of(message.busy))
@@ -117,13 +119,13 @@
         self.lapses = [lapse._replace(since=min(lapse.since, folded)) for lapse in self.lapses]
 
     def unheard(self) -> set[str]:
-        """The joined hosts that haven't answered since the last change."""
+        """Return the other joined hosts that haven't reported since the last change."""
         return set(self.hosts) - {self.host} - self.answers_by_host.keys()
 
     def may_use(self, slot_id: SlotId, wait_s: float) -> bool:
-        """Whether a slot is this host's and nobody else's.
+        """Return whether this host owns a slot and no other host can still be using it.
 
-        :param wait_s: after so long whoever is gone surely uses nothing any more.
+        :param wait_s: seconds after which a host that is gone can't use any slot any more.
         """
         if not self.is_joined():
             return False
@@ -142,7 +144,7 @@
         return True
 
     def age_s(self) -> float:
-        """Seconds since the last run ended without a leave, as far as is known here."""
+        """Return the seconds since the last known end of a run without a leave record."""
         now = self.clock.monotonic()
         return min((now - lapse.since for lapse in self.lapses), default=FORGET_S)
 
