--- a/mustardgap/brokers.py
+++ b/mustardgap/brokers.py
@@ -173,8 +173,8 @@
         if not self._may_start(self.clock.monotonic()):
             return False
         if not self.ownership.is_joined():
-            return bool(self.ownership.others())
-        return not self.ownership.unheard()
+            return bool(self.ownership.other_member_ids())
+        return not self.ownership.unreported_hosts()
 
     # The clockwork.
 
@@ -214,7 +214,7 @@
 
     def restored(self) -> None:
         """Take in a state that was taken over whole."""
-        self.ownership.refresh(whole=True)
+        self.ownership.refresh(from_snapshot=True)
         self._look()
         self._answer_waiting()
 
@@ -245,10 +245,12 @@
         own = self.ownership
         if not own.is_joined():
             return
-        if not own.unheard() and not any(self.lender(s).pending() for s in self.services()):
+        if not own.unreported_hosts() and not any(
+            self.lender(s).pending() for s in self.services()
+        ):
             return
         self._settled_at = now
-        for member_id in own.others():
+        for member_id in own.other_member_ids():
             self.peers.send(member_id, Settle(own.offset))
 
     def take_settle(self, sender: Member, message: Settle) -> None:
@@ -259,14 +261,14 @@
         busy: set[SlotId] = set()
         for lender in self.lenders_by_service.values():
             busy |= lender.busy()
-        age_ms = int(self.ownership.age_s() * 1000)
+        age_ms = int(self.ownership.last_unclean_end_age_s() * 1000)
         self.peers.send(sender.id, Settled(self.state.offset, masks_of(busy), age_ms))
 
     def take_settled(self, sender: Member, message: Settled) -> None:
         """Take in what another owner still uses or lends."""
-        if sender.id not in self.ownership.others():
+        if sender.id not in self.ownership.other_member_ids():
             return
-        self.ownership.take_settled(sender.host, message)
+        self.ownership.apply_settled(sender.host, message)
         for service in self.services():
             if self.slots.waiting(service):
                 self.slots.serve(service)
--- a/mustardgap/ownership.py
+++ b/mustardgap/ownership.py
@@ -11,17 +11,17 @@
 from .states import State
 from .timers import Clock
 
-FORGET_S = 3600.0
+HISTORY_RETENTION_S = 3600.0
 
 
-class Past(NamedTuple):
+class PastOwners(NamedTuple):
     """The owning hosts until monotonic time ``until``; empty if they aren't known here."""
 
     hosts: tuple[str, ...]
     until: float
 
 
-class Lapse(NamedTuple):
+class UncleanEnd(NamedTuple):
     """A run that ended without a leave record, and the owners among which it had slots.
 
     ``since`` is the monotonic time at which this daemon folded the end. The slots had passed to
@@ -60,43 +60,47 @@
         self.is_leaving = False
         self.joined: dict[str, int] = {}
         self.hosts: tuple[str, ...] = ()
-        self.answers_by_host: dict[str, set[SlotId]] = {}
+        self.busy_slots_by_host: dict[str, set[SlotId]] = {}
         self.usable: set[SlotId] = set()
-        self.lapses: list[Lapse] = []
-        self._past = [Past((), clock.monotonic())]
+        self.unclean_ends: list[UncleanEnd] = []
+        self._past_owners = [PastOwners((), clock.monotonic())]
         self._unclean_by_host: dict[str, int] = {}
         self._ranks: dict[tuple[tuple[str, ...], str], list[str]] = {}
 
-    def refresh(self, *, whole: bool = False) -> bool:
+    def refresh(self, *, from_snapshot: bool = False) -> bool:
         """Update the owners from the folded state.
 
-        :param whole: the state comes from a snapshot; changes before it aren't known.
+        :param from_snapshot: the state comes from a snapshot; changes before it aren't known.
         :return: whether the owners have to be taken as changed.
         """
         entries = self.state.entries_by_host
         joined = {h: e["incarnation"] for h, e in entries.items() if e["state"] == "joined"}
-        if joined == self.joined and not whole:
+        if joined == self.joined and not from_snapshot:
             return False
         now = self.clock.monotonic()
-        self._past = [p for p in self._past if p.until > now - FORGET_S]
-        self._past.append(Past(() if whole else self.hosts, now))
-        self.lapses = [lapse for lapse in self.lapses if lapse.since > now - FORGET_S]
+        self._past_owners = [p for p in self._past_owners if p.until > now - HISTORY_RETENTION_S]
+        self._past_owners.append(PastOwners(() if from_snapshot else self.hosts, now))
+        self.unclean_ends = [
+            end for end in self.unclean_ends if end.since > now - HISTORY_RETENTION_S
+        ]
         for host, entry in entries.items():
             if entry["unclean"] > self._unclean_by_host.get(host, -1):
                 self._unclean_by_host[host] = entry["unclean"]
-                self.lapses += [Lapse(p.hosts, host, now, now - p.until) for p in self._past]
+                self.unclean_ends += [
+                    UncleanEnd(p.hosts, host, now, now - p.until) for p in self._past_owners
+                ]
         self.joined = joined
         self.hosts = tuple(sorted(joined))
         self.offset = max([self.offset, *(e["offset"] for e in entries.values())])
-        self.answers_by_host.clear()
-        kept = set() if whole else {i for i in self.usable if self.owner(i) == self.host}
+        self.busy_slots_by_host.clear()
+        kept = set() if from_snapshot else {i for i in self.usable if self.owner(i) == self.host}
         self.usable = kept
         return True
 
     def restart(self) -> None:
         """Consider no slot usable, as a new run does."""
         self.usable.clear()
-        self.answers_by_host.clear()
+        self.busy_slots_by_host.clear()
 
     def owner(self, slot_id: SlotId) -> str:
         """Return the host that owns a slot, or "" when there is no owner."""
@@ -106,21 +110,23 @@
         """Return whether this run is among the owners."""
         return not self.is_leaving and self.joined.get(self.host) == self.incarnation()
 
-    def others(self) -> set[str]:
+    def other_member_ids(self) -> set[str]:
         """Return the member ids of the other joined entry hosts."""
         return {f"{h}@{i:x}" for h, i in self.joined.items() if h != self.host}
 
-    def take_settled(self, host: str, message: Settled) -> None:
+    def apply_settled(self, host: str, message: Settled) -> None:
         """Apply a joined entry host's report of the slots that it still uses or lends."""
         if message.offset <= self.offset:
             return
-        self.answers_by_host[host] = set(ids_of(message.busy))
+        self.busy_slots_by_host[host] = set(ids_of(message.busy))
         folded = self.clock.monotonic() - message.age_ms / 1000
-        self.lapses = [lapse._replace(since=min(lapse.since, folded)) for lapse in self.lapses]
+        self.unclean_ends = [
+            end._replace(since=min(end.since, folded)) for end in self.unclean_ends
+        ]
 
-    def unheard(self) -> set[str]:
+    def unreported_hosts(self) -> set[str]:
         """Return the other joined hosts that haven't reported since the last change."""
-        return set(self.hosts) - {self.host} - self.answers_by_host.keys()
+        return set(self.hosts) - {self.host} - self.busy_slots_by_host.keys()
 
     def may_use(self, slot_id: SlotId, wait_s: float) -> bool:
         """Return whether this host owns a slot and no other host can still be using it.
@@ -131,22 +137,22 @@
             return False
         if slot_id in self.usable:
             return True
-        if self.owner(slot_id) != self.host or self.unheard():
+        if self.owner(slot_id) != self.host or self.unreported_hosts():
             return False
-        if any(slot_id in busy for busy in self.answers_by_host.values()):
+        if any(slot_id in busy for busy in self.busy_slots_by_host.values()):
             return False
         after = self.clock.monotonic() - wait_s
-        for lapse in self.lapses:
-            theirs = not lapse.hosts or self._owner(lapse.hosts, slot_id) == lapse.host
-            if theirs and lapse.since > after and lapse.lost_s < wait_s:
+        for end in self.unclean_ends:
+            may_be_theirs = not end.hosts or self._owner(end.hosts, slot_id) == end.host
+            if may_be_theirs and end.since > after and end.lost_s < wait_s:
                 return False
         self.usable.add(slot_id)
         return True
 
-    def age_s(self) -> float:
+    def last_unclean_end_age_s(self) -> float:
         """Return the seconds since the last known end of a run without a leave record."""
         now = self.clock.monotonic()
-        return min((now - lapse.since for lapse in self.lapses), default=FORGET_S)
+        return min((now - end.since for end in self.unclean_ends), default=HISTORY_RETENTION_S)
 
     def _owner(self, hosts: tuple[str, ...], slot_id: SlotId) -> str:
         if not hosts:
