--- a/mustardgap/shard_owners.py
+++ b/mustardgap/shard_owners.py
@@ -8,7 +8,7 @@
 from . import cancellations, metrics
 from .events import EventLog
 from .ports import Done, Joined, NoAnswer, Refused, Store
-from .standbys import CLEAR_LOOK_S, LOOK_S, Standby, address_of, is_small
+from .standbys import MAX_OWNERS_READ_S, OWNERS_READ_INTERVAL_S, Standby, address_of, is_small
 from .timers import Clock
 
 # A daemon that dies is replaced after this. It is some four renewals, and a slow store's answer
@@ -108,7 +108,7 @@
                 await self._start_afresh()
         while not self._leaving:
             if self._standby is not None and not await self._is_wanted(self._standby):
-                await self._clock.sleep(LOOK_S)
+                await self._clock.sleep(OWNERS_READ_INTERVAL_S)
                 continue
             before = self.generation
             if await self._renew():
@@ -120,32 +120,32 @@
     async def _is_wanted(self, standby: Standby) -> bool:
         """Whether this daemon's small host has to own shards; gives them back if not any more."""
         now = self._clock.monotonic()
-        if now - self._looked_at < LOOK_S:
-            return standby.wanted
+        if now - self._looked_at < OWNERS_READ_INTERVAL_S:
+            return standby.is_needed
         self._looked_at = now
         if not await self._read_owners():
-            return standby.wanted
+            return standby.is_needed
         others = sorted(set(self.members_by_shard.values()) - {self.member})
-        if self._clock.monotonic() - now > CLEAR_LOOK_S:
-            standby.note_unclear()
+        if self._clock.monotonic() - now > MAX_OWNERS_READ_S:
+            standby.forget_silent_owners()
         elif others:
             # One a look: with 30 hosts standing by, each of 10 owners is called 6 times a second.
             self._looks += 1
             other = others[self._looks % len(others)]
             standby.note_call(other, answered=await self._reach(address_of(other)))
-        if standby.note(self.members_by_shard, owns=bool(self.owned_by_shard)):
+        if standby.update_owners(self.members_by_shard, owns=bool(self.owned_by_shard)):
             self._events.note(
                 "group.standby",
                 vital=True,
-                wanted=standby.wanted,
+                wanted=standby.is_needed,
                 owned=sorted(self.owned_by_shard),
                 known=len(self.members_by_shard),
             )
-            if not standby.wanted:
+            if not standby.is_needed:
                 async with self._dealing:
                     if not self._leaving:
                         await self._start_afresh()
-        return standby.wanted
+        return standby.is_needed
 
     async def _end_earlier_life(self) -> None:
         """Take the membership of this host's earlier process back.
