--- a/mustardgap/duties.py
+++ b/mustardgap/duties.py
@@ -1,4 +1,4 @@
-"""Who acts on a key: the first by rendezvous hashing at once, the next ones after a delay."""
+"""Which member acts on a key: its owner by rendezvous hashing at once, others after a delay."""
 
 from collections.abc import Hashable
 from typing import Protocol
@@ -10,26 +10,26 @@
 
 
 class Ranks(Protocol):
-    """The part of the members that ranks them."""
+    """The interface of the members that ranks them for a key."""
 
     @property
     def me(self) -> "HasId":
-        """This daemon."""
+        """Return this daemon."""
 
     def ranked(self, key: str) -> list[str]:
-        """The live members' ids for a key, the owner first."""
+        """Return the live members' ids for a key, the owner first."""
 
 
 class HasId(Protocol):
-    """Something with an id."""
+    """An object with an id."""
 
     @property
     def id(self) -> str:
-        """The id."""
+        """Return the id."""
 
 
 class Turn:
-    """Since when a step is wanted for a key, and when it may be tried next.
+    """A step that is wanted for a key: since when, and when it may be tried next.
 
     :param step: the step wanted.
     :param since: monotonic time at which it was first wanted.
@@ -45,14 +45,14 @@
 
 
 class Duties:
-    """Which steps this daemon should take now.
+    """Decides which steps this daemon should take now.
 
-    Two members that both think it is their turn act twice; each step is harmless when repeated, so
-    no lease is needed, and none can lapse while its holder is paused.
+    Two members that both take themselves for the owner act twice. Each step is harmless when it is
+    repeated, so no lease is needed that could lapse while its holder is paused.
 
-    :param members: ranks the members by key.
+    :param members: ranks the members for each key.
     :param clock: the clocks to read.
-    :param takeover_s: seconds without progress after which the next member steps in.
+    :param takeover_s: seconds without progress after which the next member acts as well.
     """
 
     def __init__(self, *, members: Ranks, clock: Clock, takeover_s: float) -> None:
@@ -62,16 +62,16 @@
         self._turns_by_key: dict[str, Turn] = {}
 
     def rank(self, key: str) -> int | None:
-        """This daemon's place for a key, 0 for the owner; None when it may own nothing."""
+        """Return this daemon's rank for a key, 0 for the owner; None when it isn't ranked."""
         ranked = self.members.ranked(key)
         me = self.members.me.id
         return ranked.index(me) if me in ranked else None
 
     def is_due(self, key: str, step: Hashable) -> bool:
-        """Whether this daemon should take a step now.
+        """Return whether this daemon should take a step now.
 
-        :param key: what the step is about.
-        :param step: the step wanted; while it stays the same, nothing has happened.
+        :param key: the key of the object that the step is for.
+        :param step: the step wanted; as long as it is the same, there was no progress.
         """
         now = self.clock.monotonic()
         turn = self._turns_by_key.get(key)
@@ -83,16 +83,16 @@
         return now - turn.since >= rank * self.takeover_s
 
     def take(self, key: str) -> None:
-        """Note that the step is being taken; it is repeated only after a growing delay."""
+        """Record that the step is being taken; a repetition waits for an exponential delay."""
         turn = self._turns_by_key[key]
         delay = min(FIRST_RETRY_S * 2.0**turn.tries, MAX_RETRY_S)
         turn.tries += 1
         turn.not_before = self.clock.monotonic() + delay
 
     def drop(self, key: str) -> None:
-        """Forget a key for which nothing is wanted."""
+        """Forget a key for which no step is wanted."""
         self._turns_by_key.pop(key, None)
 
     def clear(self) -> None:
-        """Forget all, as after a gap in which the others went on."""
+        """Forget all keys, as after a pause of this process in which others made progress."""
         self._turns_by_key.clear()
