--- a/mustardgap/duties.py
+++ b/mustardgap/duties.py
@@ -9,7 +9,7 @@
 MAX_RETRY_S = 8.0
 
 
-class Ranks(Protocol):
+class MemberRanking(Protocol):
     """The interface of the members that ranks them for a key."""
 
     @property
@@ -28,7 +28,7 @@
         """Return the id."""
 
 
-class Turn:
+class PendingStep:
     """A step that is wanted for a key: since when, and when it may be tried next.
 
     :param step: the step wanted.
@@ -55,11 +55,11 @@
     :param takeover_s: seconds without progress after which the next member acts as well.
     """
 
-    def __init__(self, *, members: Ranks, clock: Clock, takeover_s: float) -> None:
+    def __init__(self, *, members: MemberRanking, clock: Clock, takeover_s: float) -> None:
         self.members = members
         self.clock = clock
         self.takeover_s = takeover_s
-        self._turns_by_key: dict[str, Turn] = {}
+        self._pending_by_key: dict[str, PendingStep] = {}
 
     def rank(self, key: str) -> int | None:
         """Return this daemon's rank for a key, 0 for the owner; None when it isn't ranked."""
@@ -74,25 +74,25 @@
         :param step: the step wanted; as long as it is the same, there was no progress.
         """
         now = self.clock.monotonic()
-        turn = self._turns_by_key.get(key)
-        if turn is None or turn.step != step:
-            turn = self._turns_by_key[key] = Turn(step=step, since=now)
+        pending = self._pending_by_key.get(key)
+        if pending is None or pending.step != step:
+            pending = self._pending_by_key[key] = PendingStep(step=step, since=now)
         rank = self.rank(key)
-        if rank is None or now < turn.not_before:
+        if rank is None or now < pending.not_before:
             return False
-        return now - turn.since >= rank * self.takeover_s
+        return now - pending.since >= rank * self.takeover_s
 
-    def take(self, key: str) -> None:
+    def note_attempt(self, key: str) -> None:
         """Record that the step is being taken; a repetition waits for an exponential delay."""
-        turn = self._turns_by_key[key]
-        delay = min(FIRST_RETRY_S * 2.0**turn.tries, MAX_RETRY_S)
-        turn.tries += 1
-        turn.not_before = self.clock.monotonic() + delay
+        pending = self._pending_by_key[key]
+        delay = min(FIRST_RETRY_S * 2.0**pending.tries, MAX_RETRY_S)
+        pending.tries += 1
+        pending.not_before = self.clock.monotonic() + delay
 
     def drop(self, key: str) -> None:
         """Forget a key for which no step is wanted."""
-        self._turns_by_key.pop(key, None)
+        self._pending_by_key.pop(key, None)
 
     def clear(self) -> None:
         """Forget all keys, as after a pause of this process in which others made progress."""
-        self._turns_by_key.clear()
+        self._pending_by_key.clear()
--- a/mustardgap/entries.py
+++ b/mustardgap/entries.py
@@ -65,7 +65,7 @@
         key = f"entry/{entry['host']}"
         if not self.duties.is_due(key, entry["epoch"]):
             return False
-        self.duties.take(key)
+        self.duties.note_attempt(key)
         return True
 
     def _gone(self, entry: EntryState) -> EntryBody:
--- a/mustardgap/host_actors.py
+++ b/mustardgap/host_actors.py
@@ -157,7 +157,7 @@
         """Take one step of a host."""
         host = self.log.state.hosts_by_name.get(name)
         if host is not None:
-            self.duties.take(f"host/{name}")
+            self.duties.note_attempt(f"host/{name}")
             await self._take(step, host)
 
     def _wanted(self, host: HostState) -> HostStep | None:
--- a/mustardgap/job_actors.py
+++ b/mustardgap/job_actors.py
@@ -114,7 +114,7 @@
         if job is None or not job["attempts"]:
             return
         if attempt_of(job) is not None or step == StepTask("stop"):
-            self.duties.take(f"job/{name}")
+            self.duties.note_attempt(f"job/{name}")
             await self._take(step, job, self.operations.begin())
 
     def _wanted(self, job: JobState) -> JobStep | None:
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -192,7 +192,7 @@
 
     async def act(self, decisions: list[Decision]) -> None:
         """Write decisions concurrently."""
-        self.duties.take(KEY)
+        self.duties.note_attempt(KEY)
         await asyncio.gather(*(self._write(decision) for decision in decisions))
         self._is_changed = True
         # These decisions have been written, accepted or not; the next pass begins a new step.
--- a/mustardgap/plan_actors.py
+++ b/mustardgap/plan_actors.py
@@ -74,7 +74,7 @@
 
     async def act(self, plan: Plan) -> None:
         """Write the steps of a plan together."""
-        self.duties.take(KEY)
+        self.duties.note_attempt(KEY)
         await asyncio.gather(
             *(self._write(step) for step in plan.steps),
             *(self._finish(wave) for wave in self._open_waves(plan)),
--- a/mustardgap/registrars.py
+++ b/mustardgap/registrars.py
@@ -75,7 +75,7 @@
 
     async def act(self, bodies: list[HostBody]) -> None:
         """Write records together."""
-        self.duties.take(KEY)
+        self.duties.note_attempt(KEY)
         ticket = self.operations.begin()
         verdicts = await asyncio.gather(
             *(self.operations.write(ticket, "host", body) for body in bodies)
