--- a/features/steps/entries_steps.py
+++ b/features/steps/entries_steps.py
@@ -134,7 +134,7 @@
     good = {f"x{n}": msgspec.json.encode(GOOD) for n in range(3)}
     context.bad = {f"bad-{n}": raw for n, raw in enumerate(RAW.values())}
     for _ in range(times):
-        board._read(Entries(values_by_key={**context.bad, **good}, end=1))
+        board._apply_entries(Entries(values_by_key={**context.bad, **good}, end=1))
     context.board = board
 
 
--- a/mustardgap/boards.py
+++ b/mustardgap/boards.py
@@ -1,4 +1,4 @@
-"""What operators and executors publish, followed on the platform's store."""
+"""Follows the records that operators and executors publish in the platform's store."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
@@ -8,28 +8,28 @@
 from .timers import Clock
 from .workloads import Configuration, ExecutorEntry, Wave
 
-# The store answers as soon as there is a record. A connection that went silent is noticed after
-# this and the call's slack. A longer wait would save calls, but a change has to be in force within
-# 2 s, and a daemon that waits in vain can't know of it.
-OPERATOR_WAIT_S = 0.8
-# The longest rest after a reading that found the operator ahead. The slowest links take some 0.5 s
-# for a large configuration: with a reading before the rest and one after it, a change is in force
-# well within the 2 s that it may take.
-MOST_REST_S = 0.8
-# Executors write some 30 records a second; a waiting read would come back for each. At this period
-# a new executor is used 0.1 s after it is listed on average, and a leaving one is known well within
-# the 2 s for which it goes on serving.
-EXECUTORS_PERIOD_S = 0.2
-EXECUTORS_WAIT_S = 0.8
+# The store answers as soon as there is a record. A dead connection is noticed after this wait and
+# the call's slack. A longer wait would save calls, but a change has to be in force within 2 s, and
+# a daemon that waits on a dead connection can't learn of it.
+OPERATOR_POLL_WAIT_S = 0.8
+# The longest pause after a read that found several new records. On the slowest links a large
+# configuration takes some 0.5 s: with a read before the pause and one after it, a change is in
+# force well within the 2 s that it may take.
+MAX_READ_PAUSE_S = 0.8
+# Executors write some 30 records a second, and a long poll would return for each of them. With this
+# interval a new executor is used 0.1 s after it is listed on average, and a leaving one is known
+# well within the 2 s for which it continues to serve.
+EXECUTORS_READ_INTERVAL_S = 0.2
+EXECUTORS_POLL_WAIT_S = 0.8
 RETRY_S = 0.2
-# A daemon that can't read the store asks a peer for the configuration at this period.
-ASK_PERIOD_S = 0.3
-# Entries that expired while the store was away come back within 2 s of its return.
-RETURN_S = 2.3
+# How often a daemon that can't read the store asks a peer for the configuration.
+PEER_POLL_INTERVAL_S = 0.3
+# Entries that expired during an outage of the store are written again within 2 s of its end.
+ENTRY_RETURN_S = 2.3
 
 
 class OperatorRecords(NamedTuple):
-    """Decoded records of the operator; those that didn't decode are named with the reason."""
+    """Decoded records of the operator; ``invalid`` names the undecodable ones with the reason."""
 
     configuration: Configuration | None
     waves: list[Wave]
@@ -41,7 +41,7 @@
 
     :param boards: reads the store.
     :param decode: decodes records by their keys.
-    :param ask_peer: asks some peer for the configuration that it has, with its raw form.
+    :param ask_peer: asks a peer for its raw configuration records, by key.
     :param clock: the clocks to read.
     :param events: the process's log.
     """
@@ -63,57 +63,57 @@
         self._ask_peer = ask_peer
         self._clock = clock
         self._events = events
-        # Where to read on, None to read the newest records of all keys.
+        # The offset of the next read; None to read the newest record of each key.
         self._offset: int | None = None
-        # Up to where the records have been read.
-        self._end: int | None = None
+        # The offset up to which the records have been read.
+        self._read_end: int | None = None
         self._failing = False
         self._subscribers: list[Callable[[], None]] = []
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back after each change."""
+        """Register a callback for each change."""
         self._subscribers.append(callback)
 
     async def run(self) -> None:
         """Follow the records until cancelled."""
         while True:
             began = self._clock.monotonic()
-            wait_s = 0.0 if self._failing else OPERATOR_WAIT_S
+            wait_s = 0.0 if self._failing else OPERATOR_POLL_WAIT_S
             newest_only = self._offset is None
             outcome = await self._boards.read_operator(offset=self._offset, wait_s=wait_s)
             if isinstance(outcome, Entries):
-                written = outcome.end - self._end if self._end is not None else 0
-                self._read(outcome)
+                written = outcome.end - self._read_end if self._read_end is not None else 0
+                self._apply_entries(outcome)
                 if written > 1:
                     took_s = self._clock.monotonic() - began
-                    await self._rest(took_s if newest_only else took_s / written)
+                    await self._pause_reading(took_s if newest_only else took_s / written)
             elif isinstance(outcome, Expired):
                 self._offset = None
             else:
-                self._failed(outcome)
+                self._note_failure(outcome)
                 await self._clock.sleep(RETRY_S)
 
-    async def _rest(self, record_s: float) -> None:
-        """Leave the link to others for as long as a record took, then read the newest only.
+    async def _pause_reading(self, record_s: float) -> None:
+        """Pause for as long as the transfer of a record took; the next read gets the newest only.
 
         An operator who publishes large configurations faster than a slow link carries them would
-        have all of the link: callers' requests came seconds late, and peers took this host for
-        dead. Versions that are already replaced are of no use.
+        fill the link: callers' requests arrived seconds late, and peers took this host for dead.
+        Versions that are already superseded needn't be read.
 
-        :param record_s: seconds that one record took.
+        :param record_s: seconds that the transfer of one record took.
         """
-        await self._clock.sleep(min(record_s, MOST_REST_S))
+        await self._clock.sleep(min(record_s, MAX_READ_PAUSE_S))
         self._offset = None
 
-    async def ask(self) -> None:
-        """While the store can't be read, take the configuration from peers; until cancelled."""
+    async def poll_peers(self) -> None:
+        """Get the configuration from peers while the store can't be read, until cancelled."""
         while True:
-            await self._clock.sleep(ASK_PERIOD_S)
+            await self._clock.sleep(PEER_POLL_INTERVAL_S)
             if self._failing or self.configuration is None:
-                self.take(await self._ask_peer(), source="peer")
+                self.apply(await self._ask_peer(), source="peer")
 
-    def take(self, values: dict[str, bytes | None], *, source: str) -> None:
-        """Take in records; an older configuration than the one in force changes nothing."""
+    def apply(self, values: dict[str, bytes | None], *, source: str) -> None:
+        """Apply records; a configuration older than the one in force is ignored."""
         records = self._decode(values)
         for why in records.invalid:
             self._events.note("operator.invalid", vital=True, why=why, source=source)
@@ -143,16 +143,16 @@
             for callback in self._subscribers:
                 callback()
 
-    def _read(self, entries: Entries) -> None:
-        self._offset = self._end = entries.end
+    def _apply_entries(self, entries: Entries) -> None:
+        self._offset = self._read_end = entries.end
         if self._failing:
             self._failing = False
             self._events.note("operator.regained", vital=True, offset=entries.end)
         _note_invalid(self._events, entries)
         if entries.values_by_key:
-            self.take(entries.values_by_key, source="store")
+            self.apply(entries.values_by_key, source="store")
 
-    def _failed(self, outcome: Refused | NoAnswer) -> None:
+    def _note_failure(self, outcome: Refused | NoAnswer) -> None:
         if not self._failing:
             self._failing = True
             self._events.note("operator.lost", vital=True, why=outcome.detail)
@@ -163,7 +163,7 @@
 
     :param boards: reads the store.
     :param decode: decodes one entry.
-    :param needed: whether the entries are needed here.
+    :param needed: returns whether this daemon needs the entries.
     :param clock: the clocks to read.
     :param events: the process's log.
     """
@@ -185,23 +185,23 @@
         self._events = events
         self._offset: int | None = None
         self._failing = False
-        # When each executor was last seen to write its entry.
+        # Monotonic time at which each executor was last seen to write its entry.
         self._written_at_by_id: dict[str, float] = {}
-        self._returned_at = float("-inf")
+        self._store_back_at = float("-inf")
         self._missing_by_id: dict[str, float] = {}
-        # What was wrong with the newest records of those that can't be read.
+        # The decoding errors of the executors whose newest record can't be decoded.
         self._invalid_by_id: dict[str, Invalid] = {}
         self._subscribers: list[Callable[[], None]] = []
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back after each change."""
+        """Register a callback for each change."""
         self._subscribers.append(callback)
 
     def age_s(self, executor: str) -> float:
-        """How many seconds ago an executor was seen to write its entry, at the latest.
+        """Return the seconds since an executor was last seen to write its entry.
 
-        One that was there already when the entries were first read may be of any age: while the
-        store is away, nobody writes.
+        An entry known only from a read of all entries may be of any age, as nobody can write during
+        an outage of the store; infinity is returned for it.
         """
         return self._clock.monotonic() - self._written_at_by_id.get(executor, float("-inf"))
 
@@ -212,32 +212,32 @@
                 await self._clock.sleep(RETRY_S / 2)
                 continue
             outcome = await self._boards.read_executors(
-                offset=self._offset, wait_s=EXECUTORS_WAIT_S
+                offset=self._offset, wait_s=EXECUTORS_POLL_WAIT_S
             )
             if isinstance(outcome, Entries):
-                self._read(outcome)
-                await self._clock.sleep(EXECUTORS_PERIOD_S)
+                self._apply_entries(outcome)
+                await self._clock.sleep(EXECUTORS_READ_INTERVAL_S)
             elif isinstance(outcome, Expired):
                 self._offset = None
             else:
-                self._failed(outcome)
+                self._note_failure(outcome)
                 await self._clock.sleep(RETRY_S)
 
-    def _read(self, entries: Entries) -> None:
-        whole = self._offset is None
+    def _apply_entries(self, entries: Entries) -> None:
+        is_full_read = self._offset is None
         self._offset = entries.end
         now = self._clock.monotonic()
         if self._failing:
             self._failing = False
-            self._returned_at = now
+            self._store_back_at = now
             self._events.note("executors.regained", vital=True, entries=len(self.entries_by_id))
         before = dict(self.entries_by_id)
         _note_invalid(self._events, entries)
         for executor, raw in entries.values_by_key.items():
-            self._take(executor, raw, now)
-            if not whole:
+            self._apply_entry(executor, raw, now)
+            if not is_full_read:
                 self._written_at_by_id[executor] = now
-        if whole:
+        if is_full_read:
             for executor in self.entries_by_id.keys() - entries.values_by_key.keys():
                 self._missing_by_id.setdefault(executor, now)
         self._drop_missing(now)
@@ -245,7 +245,7 @@
             for callback in self._subscribers:
                 callback()
 
-    def _take(self, executor: str, raw: bytes | None, now: float) -> None:
+    def _apply_entry(self, executor: str, raw: bytes | None, now: float) -> None:
         if not raw:
             self._invalid_by_id.pop(executor, None)
             if executor in self.entries_by_id:
@@ -253,22 +253,23 @@
             return
         entry = self._decode(executor, raw)
         if isinstance(entry, Invalid):
-            self._take_invalid(executor, entry)
+            self._handle_invalid(executor, entry)
             return
         self._invalid_by_id.pop(executor, None)
         self.entries_by_id[executor] = entry
         self._missing_by_id.pop(executor, None)
 
-    def _take_invalid(self, executor: str, record: Invalid) -> None:
-        """Note a record that can't be read.
+    def _handle_invalid(self, executor: str, record: Invalid) -> None:
+        """Handle a record that can't be decoded.
 
-        Written over an executor's own, it leaves open whether that one drains or has moved, so it
-        gets nothing new. It isn't taken for gone: what runs there would be started a second time.
+        When it replaces an executor's valid entry, it isn't known whether the executor drains or
+        has moved, so it gets no new tasks. It isn't taken for gone, as its running tasks would be
+        started a second time.
         """
         known = self.entries_by_id.get(executor)
         if known is not None:
             self.entries_by_id[executor] = known._replace(readable=False)
-        # Its writer may repeat it with each heartbeat; one line tells all of it.
+        # The record may be written again with each heartbeat; it is logged once.
         if self._invalid_by_id.get(executor) != record:
             self._invalid_by_id[executor] = record
             self._events.note(
@@ -280,23 +281,23 @@
             )
 
     def _drop_missing(self, now: float) -> None:
-        # Executors write nothing while the store is away, and their entries expire although they
-        # work on; taking them for gone would leave a healthy pool unused.
-        if now < self._returned_at + RETURN_S:
+        # Executors can't write during an outage of the store, and their entries expire although
+        # they continue to run; taking them for gone would leave a healthy pool unused.
+        if now < self._store_back_at + ENTRY_RETURN_S:
             return
         for executor in list(self._missing_by_id):
             del self._missing_by_id[executor]
             self.entries_by_id.pop(executor, None)
             self._written_at_by_id.pop(executor, None)
 
-    def _failed(self, outcome: Refused | NoAnswer) -> None:
+    def _note_failure(self, outcome: Refused | NoAnswer) -> None:
         if not self._failing:
             self._failing = True
             self._events.note("executors.lost", vital=True, why=outcome.detail)
 
 
 def _note_invalid(events: EventLog, entries: Entries) -> None:
-    """Tell of records that name nothing, and so cost nothing but themselves."""
+    """Log records without a readable key, which have no effect on other records."""
     if entries.invalid:
         events.note(
             "record.invalid", vital=True, count=len(entries.invalid), why=entries.invalid[0]
--- a/mustardgap/platform/daemon.py
+++ b/mustardgap/platform/daemon.py
@@ -150,7 +150,7 @@
         )
         root = Supervisor(name="daemon")
         root.start_child("operator", self.operator.run)
-        root.start_child("ask", self.operator.ask)
+        root.start_child("ask", self.operator.poll_peers)
         root.start_child("board", self.board.run)
         root.start_child("owners", self.owners.run)
         try:
--- a/tools/owner_daemons.py
+++ b/tools/owner_daemons.py
@@ -217,7 +217,12 @@
         self.board.on_change(self._update)
         self.tasks = [
             asyncio.ensure_future(run())
-            for run in (self.operator.run, self.operator.ask, self.board.run, self.owners.run)
+            for run in (
+                self.operator.run,
+                self.operator.poll_peers,
+                self.board.run,
+                self.owners.run,
+            )
         ]
 
     def handle(self, name: str, handler: Callable[..., Any]) -> None:
