--- a/mustardgap/parts.py
+++ b/mustardgap/parts.py
@@ -1,4 +1,4 @@
-"""The parts of one entry host, built and joined."""
+"""Builds the components of an entry host and connects them."""
 
 from typing import Any
 
@@ -31,7 +31,7 @@
 
 
 class Parts:
-    """Builds the parts of an entry host from its settings.
+    """Builds the components of an entry host from its settings.
 
     :param settings: the checked settings.
     :param clock: the clocks to read.
@@ -40,7 +40,7 @@
     def __init__(self, *, settings: Settings, clock: Clock | None = None) -> None:
         self.settings = settings
         self.timers = Timers(clock=clock)
-        self._holds_by_service: dict[str, float] = {}
+        self._max_hold_s_by_service: dict[str, float] = {}
         self.state = State()
         self.timeline = Timeline(
             member=settings.host, size=settings.timeline_size, clock=self.timers.clock
@@ -67,15 +67,15 @@
             timeline=self.timeline,
             readiness=self.readiness,
             explainers=self._explainers(),
-            services_view=self._services,
+            services_view=self._services_view,
         )
 
     def open(self) -> None:
-        """Start the subscriptions that need a running loop but no child of their own."""
+        """Start the timers that need a running event loop but no supervised child."""
         self.timers.subscribe("gossip", self.settings.peers.gossip_s, self.gossiper.turn)
 
     def close(self) -> None:
-        """Close what the children leave open."""
+        """Close the resources that the supervised children don't close."""
         self.callers.close()
         self.timers.close()
         self.platform.close()
@@ -110,8 +110,8 @@
             stale_after_s=self.settings.platform.stale_after_s,
             clock=self.timers.clock,
         )
-        self.log.on_fold(lambda record, verdict: self._say_offset())
-        self.log.on_restore(self._say_offset)
+        self.log.on_fold(lambda record, verdict: self._publish_offset())
+        self.log.on_restore(self._publish_offset)
         self.workers = Workers(platform=self.platform, settings=self.settings, timers=self.timers)
         self.actors = Actors(
             platform=self.platform,
@@ -123,7 +123,7 @@
             timeline=self.timeline,
         )
 
-    def _say_offset(self) -> None:
+    def _publish_offset(self) -> None:
         self.members.say(offset=self.log.offset)
 
     def _build_requests(self) -> None:
@@ -145,7 +145,7 @@
             timers=self.timers,
             max_wait_s=self._max_wait_s,
         )
-        self.slots.way = self._sharing()
+        self.slots.way = self._build_sharing()
         self.enrolment = Enrolment(
             log=self.log, members=self.members, settings=self.settings, timers=self.timers
         )
@@ -173,7 +173,7 @@
             clock=clock,
         )
 
-    def _sharing(self) -> Way:
+    def _build_sharing(self) -> Way:
         sharing = self.settings.requests.sharing
         if sharing == "fixed":
             return FixedShares(slots=self.slots, members=self.members)
@@ -192,7 +192,7 @@
         )
 
     def _may_use(self, since: float) -> bool:
-        """Whether this daemon has known since a moment which state is in force."""
+        """Return whether the state is current by what was learned since a monotonic time."""
         now = self.timers.clock.monotonic()
         return self.log.current and knows(
             known_at=now - self.log.fresh_s(),
@@ -209,16 +209,21 @@
         return profile["limits"]["max_wait_s"]
 
     def _max_hold_s(self, service: str) -> float:
-        """The longest that a request holds a slot; a limit that was cut counts on in this run."""
+        """Return the longest time in seconds that a request of a service can hold a slot.
+
+        The highest limit that this run has seen counts, also after the limit was lowered.
+        """
         profile = self.state.profile_of(service)
-        most = self.settings.callers.max_timeout_s
-        limit = most
+        max_timeout_s = self.settings.callers.max_timeout_s
+        limit = max_timeout_s
         if profile is not None and "limits" in profile:
-            limit = min(profile["limits"]["timeout_s"], most)
-        self._holds_by_service[service] = max(limit, self._holds_by_service.get(service, 0.0))
-        return self._holds_by_service[service]
+            limit = min(profile["limits"]["timeout_s"], max_timeout_s)
+        self._max_hold_s_by_service[service] = max(
+            limit, self._max_hold_s_by_service.get(service, 0.0)
+        )
+        return self._max_hold_s_by_service[service]
 
-    def _services(self) -> dict[str, Any]:
+    def _services_view(self) -> dict[str, Any]:
         return {
             service: {
                 "executors": len(self.executors.candidates(service)),
