--- a/mustardgap/job_actors.py
+++ b/mustardgap/job_actors.py
@@ -22,7 +22,7 @@
     stray_step,
     task_id,
 )
-from .leases import LEASE_KEYS, Leases, key_of
+from .leases import LEASE_KEY_COUNT, Leases, lease_key_of
 from .models import JobBody, JobSpec, JobState, TaskInfo
 from .operations import Operations, Ticket, count
 from .outcomes import Accepted
@@ -66,10 +66,10 @@
         for name in jobs:
             job = self.state.jobs_by_id.get(name)
             if job is None or attempt_of(job) is None:
-                self.leases.drop(name)
+                self.leases.remove(name)
             else:
                 task = self.operations.workers.tasks_by_id.get(task_id(job))
-                self.leases.put(name, None if task is None else _lease_until(task))
+                self.leases.update(name, None if task is None else _lease_until(task))
 
     def follow_tasks(self, tasks: Iterable[TaskInfo]) -> None:
         """Take in that these tasks have changed on the platform."""
@@ -77,7 +77,7 @@
             job = self.state.jobs_by_id.get(task["job"])
             attempt = None if job is None else attempt_of(job)
             if attempt is not None and attempt["number"] == task["attempt"]:
-                self.leases.put(task["job"], _lease_until(task))
+                self.leases.update(task["job"], _lease_until(task))
 
     def look_at(self, jobs: set[str]) -> None:
         """Look at these jobs again, as something has changed there."""
@@ -150,10 +150,10 @@
         """The jobs of this daemon's keys, and those whose owner may be late."""
         settings = self.operations.settings.capacity
         late_s = max(settings.lease_s * (1 - RENEW_SHARE) - settings.takeover_s, self._least_s())
-        names = self.leases.ending_by(self.operations.timers.clock.wall() + late_s)
-        for key in range(LEASE_KEYS):
+        names = self.leases.jobs_ending_by(self.operations.timers.clock.wall() + late_s)
+        for key in range(LEASE_KEY_COUNT):
             if self.duties.rank(f"lease/{key}") == 0:
-                names |= self.leases.of_key(key)
+                names |= self.leases.jobs_of_key(key)
         return names
 
     def _least_s(self) -> float:
@@ -269,7 +269,7 @@
 
     def _renews(self, job: JobState, task: TaskInfo) -> bool:
         """The owner always renews; the next ones do when the lease has come closer to its end."""
-        rank = self.duties.rank(f"lease/{key_of(job['job'])}")
+        rank = self.duties.rank(f"lease/{lease_key_of(job['job'])}")
         if rank is None:
             return False
         settings = self.operations.settings.capacity
