--- a/features/steps/standbys_steps.py
+++ b/features/steps/standbys_steps.py
@@ -1,4 +1,4 @@
-"""Steps of small hosts that stand by, on virtual time."""
+"""Steps for small hosts that stand by, on virtual time."""
 
 import asyncio
 
@@ -9,9 +9,9 @@
 from tools.owner_worlds import play
 
 LARGE = ("e1", "e2")
-# A host that is killed is back after this, and settled after the other.
-BACK_S, SETTLED_S = 8.0, 14.0
-KILLED_BY_TROUBLE = {
+# Killed hosts are restarted after the first delay. By the end of the second, ownership has settled.
+RESTART_DELAY_S, SETTLING_TIME_S = 8.0, 14.0
+KILLED_HOSTS_BY_FAULT = {
     "none": (),
     "a large host is killed": LARGE[:1],
     "large hosts are killed": LARGE,
@@ -20,8 +20,8 @@
 }
 
 
-def owners(world):
-    """What kinds of hosts own shards now."""
+def owner_kinds(world):
+    """Return the kinds of hosts that own shards now, as text."""
     names = {
         daemon.name for daemon in world.daemons_by_address.values() if daemon.owners.owned_by_shard
     }
@@ -29,58 +29,62 @@
                                             ("small", names & world.small)) if own)  # fmt: skip
 
 
-@when('{count:d} jobs are handed in to hosts of which {small} are small, with the trouble "{name}"')
-def jobs_with_small_hosts(context, count, small, name):
-    async def scene(world):
+@when('{count:d} jobs are submitted to hosts of which {small} are small, with the fault "{fault}"')
+def jobs_with_small_hosts(context, count, small, fault):
+    async def run_scenario(world):
         await asyncio.sleep(START_S)
         work = asyncio.ensure_future(hand_in(world, context.states, count))
-        context.owners = [owners(world)]
-        for host in KILLED_BY_TROUBLE[name]:
+        context.owner_kinds = [owner_kinds(world)]
+        for host in KILLED_HOSTS_BY_FAULT[fault]:
             world.kill(host)
-        await asyncio.sleep(BACK_S)
-        if name.endswith("come back"):
-            if "all" not in name:
-                context.owners.append(owners(world))
-            for host in KILLED_BY_TROUBLE[name]:
+        await asyncio.sleep(RESTART_DELAY_S)
+        if fault.endswith("come back"):
+            if "all" not in fault:
+                context.owner_kinds.append(owner_kinds(world))
+            for host in KILLED_HOSTS_BY_FAULT[fault]:
                 world.start(host)
-        await asyncio.sleep(SETTLED_S)
-        context.owners.append(owners(world))
+        await asyncio.sleep(SETTLING_TIME_S)
+        context.owner_kinds.append(owner_kinds(world))
         await work
 
-    context.world = play(scene, daemons=4, small=small.split(", "), **context.options)
+    context.world = play(run_scenario, daemons=4, small=small.split(", "), **context.options)
 
 
-@when("{count:d} jobs are handed in while the links of the small hosts {small} are full")
+@when("{count:d} jobs are submitted while the links of the small hosts {small} are full")
 def jobs_with_full_links(context, count, small):
     names = small.split(", ")
 
-    async def scene(world):
+    async def run_scenario(world):
         await asyncio.sleep(START_S)
         for name in names:
             world.fill_link(name)
         await hand_in(world, context.states, count)
-        await asyncio.sleep(SETTLED_S)
-        context.joined = [name for name in world.store.members_by_name if is_small(name)]
+        await asyncio.sleep(SETTLING_TIME_S)
+        context.small_members = [name for name in world.store.members_by_name if is_small(name)]
 
-    context.world = play(scene, daemons=4, small=names, **context.options)
+    context.world = play(run_scenario, daemons=4, small=names, **context.options)
 
 
-@when("{count:d} jobs are handed in to {hosts:d} small hosts")
+@when("{count:d} jobs are submitted to {hosts:d} small hosts")
 def jobs_to_small_hosts(context, count, hosts):
-    async def scene(world):
+    async def run_scenario(world):
         await asyncio.sleep(START_S)
         await hand_in(world, context.states, count)
 
     names = [f"e{number}" for number in range(1, hosts + 1)]
-    context.world = play(scene, daemons=hosts, small=names, **context.options)
+    context.world = play(run_scenario, daemons=hosts, small=names, **context.options)
 
 
 @then("shards were owned by {kinds}")
-def owned_by(context, kinds):
-    seen = [kind for n, kind in enumerate(context.owners) if kind != context.owners[n - 1] or not n]
-    assert seen == kinds.split(", "), context.owners
+def check_owner_kinds(context, kinds):
+    seen = [
+        kind
+        for n, kind in enumerate(context.owner_kinds)
+        if kind != context.owner_kinds[n - 1] or not n
+    ]
+    assert seen == kinds.split(", "), context.owner_kinds
 
 
 @then("no small host has joined the owners")
-def none_joined(context):
-    assert not context.joined, context.joined
+def check_no_small_members(context):
+    assert not context.small_members, context.small_members
