--- a/mustardgap/boards.py
+++ b/mustardgap/boards.py
@@ -110,9 +110,9 @@
         while True:
             await self._clock.sleep(PEER_POLL_INTERVAL_S)
             if self._failing or self.configuration is None:
-                self.apply(await self._ask_peer(), source="peer")
+                self.apply_records(await self._ask_peer(), source="peer")
 
-    def apply(self, values: dict[str, bytes | None], *, source: str) -> None:
+    def apply_records(self, values: dict[str, bytes | None], *, source: str) -> None:
         """Apply records; a configuration older than the one in force is ignored."""
         records = self._decode(values)
         for why in records.invalid:
@@ -150,7 +150,7 @@
             self._events.note("operator.regained", vital=True, offset=entries.end)
         _note_invalid(self._events, entries)
         if entries.values_by_key:
-            self.apply(entries.values_by_key, source="store")
+            self.apply_records(entries.values_by_key, source="store")
 
     def _note_failure(self, outcome: Refused | NoAnswer) -> None:
         if not self._failing:
