--- a/mustardgap/shard_owners.py
+++ b/mustardgap/shard_owners.py
@@ -133,7 +133,7 @@
             self._looks += 1
             other = others[self._looks % len(others)]
             standby.note_call(other, answered=await self._reach(address_of(other)))
-        if standby.update_owners(self.members_by_shard, owns=bool(self.owned_by_shard)):
+        if standby.note(self.members_by_shard, owns=bool(self.owned_by_shard)):
             self._events.note(
                 "group.standby",
                 vital=True,
--- a/mustardgap/standbys.py
+++ b/mustardgap/standbys.py
@@ -76,7 +76,7 @@
         """Forget which owners were silent, as this host's own link may be the cause."""
         self._silent_since.clear()
 
-    def update_owners(self, members_by_shard: Mapping[int, str], *, owns: bool) -> bool:
+    def note(self, members_by_shard: Mapping[int, str], *, owns: bool) -> bool:
         """Update the decision from the current owners.
 
         :param owns: whether this daemon owns any shard.
