--- a/mustardgap/plan_actors.py
+++ b/mustardgap/plan_actors.py
@@ -79,7 +79,7 @@
 
     async def act(self, plan: Plan) -> None:
         """Write all steps of a plan concurrently."""
-        self.duties.take(DUTY_KEY)
+        self.duties.note_attempt(DUTY_KEY)
         await asyncio.gather(
             *(self._write(step) for step in plan.steps),
             *(self._finish_wave(wave) for wave in self._unfinished_waves(plan)),
--- a/mustardgap/shard_owners.py
+++ b/mustardgap/shard_owners.py
@@ -8,7 +8,7 @@
 from . import cancellations, metrics
 from .events import EventLog
 from .ports import Done, Joined, NoAnswer, Refused, Store
-from .standbys import CLEAR_LOOK_S, LOOK_S, Standby, address_of, is_small
+from .standbys import MAX_OWNERS_READ_S, OWNERS_READ_INTERVAL_S, Standby, address_of, is_small
 from .timers import Clock
 
 # A member that hasn't renewed for this long loses its shards to others. It covers four renewals,
@@ -110,7 +110,7 @@
                 await self._reset_membership()
         while not self._leaving:
             if self._standby is not None and not await self._must_own_shards(self._standby):
-                await self._clock.sleep(LOOK_S)
+                await self._clock.sleep(OWNERS_READ_INTERVAL_S)
                 continue
             before = self.generation
             if await self._renew():
@@ -122,14 +122,14 @@
     async def _must_own_shards(self, standby: Standby) -> bool:
         """Whether this daemon on a small host must own shards; releases them once it needn't."""
         now = self._clock.monotonic()
-        if now - self._owners_checked_at < LOOK_S:
-            return standby.wanted
+        if now - self._owners_checked_at < OWNERS_READ_INTERVAL_S:
+            return standby.is_needed
         self._owners_checked_at = now
         if not await self._read_owners():
-            return standby.wanted
+            return standby.is_needed
         others = sorted(set(self.members_by_shard.values()) - {self.member})
-        if self._clock.monotonic() - now > CLEAR_LOOK_S:
-            standby.note_unclear()
+        if self._clock.monotonic() - now > MAX_OWNERS_READ_S:
+            standby.forget_silent_owners()
         elif others:
             # One owner per check: with 30 standby hosts, each of 10 owners gets 6 calls a second.
             self._owner_checks += 1
@@ -139,15 +139,15 @@
             self._events.note(
                 "group.standby",
                 vital=True,
-                wanted=standby.wanted,
+                wanted=standby.is_needed,
                 owned=sorted(self.owned_by_shard),
                 known=len(self.members_by_shard),
             )
-            if not standby.wanted:
+            if not standby.is_needed:
                 async with self._assignment_lock:
                     if not self._leaving:
                         await self._reset_membership()
-        return standby.wanted
+        return standby.is_needed
 
     async def _end_previous_membership(self) -> None:
         """End the membership of this host's previous process.
