--- a/mustardgap/advices.py
+++ b/mustardgap/advices.py
@@ -48,7 +48,7 @@
 
     :param advice: the advice service.
     :param clock: the clocks to read.
-    :param events: the event log of this process.
+    :param events: the process's event log.
     """
 
     def __init__(self, *, advice: Advice, clock: Clock, events: EventLog) -> None:
--- a/mustardgap/boards.py
+++ b/mustardgap/boards.py
@@ -43,7 +43,7 @@
     :param decode: decodes records by their keys.
     :param ask_peer: asks a peer for its raw configuration records, by key.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the process's event log.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
     :param decode: decodes one entry.
     :param needed: returns whether this daemon needs the entries.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the process's event log.
     """
 
     def __init__(
--- a/mustardgap/crashes.py
+++ b/mustardgap/crashes.py
@@ -42,13 +42,13 @@
 class Crash(enum.IntEnum):
     """The state of a task's run when its executor crashed."""
 
-    # Running; another run that had just been started, or was on trial, explains the crash.
+    # At work; another run that had just been started, or was on trial, explains the crash.
     BESIDE_STARTED = 0
-    # Running, as were all others.
+    # At work, as were all others.
     AT_WORK = 1
     # Just started, as were others.
     STARTED = 2
-    # Running, with no other run on the executor.
+    # At work, with no other run on the executor.
     ONLY_AT_WORK = 3
     # The only run that had just been started.
     ONLY_STARTED = 4
@@ -64,7 +64,7 @@
 
     :param runs: the runs that the executor was known to have, or whose starts were sent to it.
     :param now: monotonic seconds.
-    :param trial: a run that had the executor to itself, apart from long-running tasks.
+    :param trial: a run that had the executor to itself, apart from lasting tasks.
     """
     sent = [run for run in runs if run.sent]
     just_started = [run for run in sent if _is_just_started(run, now)]
@@ -94,7 +94,7 @@
 
 def must_run_alone(task: "Task") -> bool:
     """Whether a task must run with no other task on its executor."""
-    # Long-running tasks are there when any task that is started beside them crashes the executor.
+    # Lasting tasks are there when any task that is started beside them crashes the executor.
     limit = CRASH_LIMIT_IF_ALONE if task.step.lasting else ISOLATION_CRASH_LIMIT
     return (
         len(task.crashes) >= limit
@@ -152,7 +152,7 @@
     def __init__(
         self, *, dispatcher: "Dispatcher", clock: Clock, events: EventLog, policy: Policy
     ) -> None:
-        self._shard = dispatcher
+        self._dispatcher = dispatcher
         self._clock = clock
         self._events = events
         self._policy = policy
@@ -190,7 +190,7 @@
 
     def on_answered(self, link: "ExecutorLink") -> None:
         """Retract a crash: the executor answers, so it was only unreachable."""
-        self._retract(link, "the executor answered again")
+        self._retract(link, "the executor answers")
 
     def on_gone(self, link: "ExecutorLink", *, answered: bool) -> None:
         """Confirm or retract a crash, as an executor is gone.
@@ -198,7 +198,7 @@
         :param answered: whether another incarnation answers at its address.
         """
         if self._is_address_reused(link.entry):
-            self._retract(link, "another executor has its address")
+            self._retract(link, "its address was given away")
         elif answered:
             self._confirm(link.entry.executor)
 
@@ -214,13 +214,13 @@
     def _confirm(self, executor: str) -> None:
         for run in self._unconfirmed_by_executor.pop(executor, ()):
             run.task.crashes_confirmed.add(run.number)
-        self._shard.wake()
+        self._dispatcher.wake()
 
     def _is_address_reused(self, gone: ExecutorEntry) -> bool:
         return any(
             entry.address == gone.address
             and (entry.machine, entry.service) != (gone.machine, gone.service)
-            for entry in self._shard.roster.entries_by_id.values()
+            for entry in self._dispatcher.roster.entries_by_id.values()
         )
 
     def on_run_reported(self, job: "Job", task: "Task", number: int) -> None:
@@ -235,9 +235,9 @@
             return
         task.crash_cleared = True
         self._note("crash.cleared", run, vital=False, crashes=len(task.crashes))
-        self._shard.wake()
+        self._dispatcher.wake()
 
-    def look(self, runs: Iterable[Run]) -> None:
+    def update(self, runs: Iterable[Run]) -> None:
         """Forget the crashes of tasks that have been running for FORGET_CRASHES_AFTER_S."""
         for run in runs:
             task = run.task
@@ -245,11 +245,11 @@
                 continue
             if run.link.up and run.link.report_clock_s - run.first_seen_s >= FORGET_CRASHES_AFTER_S:
                 task.crashes.clear()
-                self._store_crashes(self._shard.job_of(task.task_id), task)
+                self._store_crashes(self._dispatcher.job_of(task.task_id), task)
 
     def _record_crash(self, link: "ExecutorLink", run: Run, crash: Crash) -> None:
         task = run.task
-        job = self._shard.jobs_by_id.get(task.task_id.job)
+        job = self._dispatcher.jobs_by_id.get(task.task_id.job)
         if job is None or job.phase:
             return
         task.crashes[run.number] = crash
@@ -269,7 +269,7 @@
     def _retract(self, link: "ExecutorLink", why: str) -> None:
         for run in self._unconfirmed_by_executor.pop(link.entry.executor, ()):
             task = run.task
-            job = self._shard.jobs_by_id.get(task.task_id.job)
+            job = self._dispatcher.jobs_by_id.get(task.task_id.job)
             if job is None or task.crashes.pop(run.number, None) is None:
                 continue
             self._store_crashes(job, task)
@@ -291,5 +291,5 @@
         job.has_crashes = True
         if job.phase:
             return
-        task.crash_ticket = self._shard.store_progress(job)
-        task.crash_ticket.outcome.add_done_callback(lambda _: self._shard.wake())
+        task.crash_ticket = self._dispatcher.store_progress(job)
+        task.crash_ticket.outcome.add_done_callback(lambda _: self._dispatcher.wake())
--- a/mustardgap/dispatchers.py
+++ b/mustardgap/dispatchers.py
@@ -81,19 +81,19 @@
     """Owns the jobs of one shard during one epoch.
 
     :param shard: the shard's number.
-    :param epoch: the number of this ownership; appends and orders of earlier owners are fenced off.
+    :param epoch: the number of this ownership; appends and orders of former owners are fenced off.
     :param store: the durable log.
     :param executors: sends orders to executors.
     :param advice: the service that says which executors a queue's policy allows.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the process's event log.
     :param bounds: the deployment's time limits.
     :param membership_age_s: returns the seconds since the store last confirmed this daemon's
         membership.
     :param entry_age_s: returns an upper bound on the age of an executor's entry, in seconds.
     :param settled: returns whether the membership was confirmed so recently that no other daemon
         can own the shard.
-    :param policy: the mechanisms that take part in decisions.
+    :param policy: the mechanisms that are enabled.
     """
 
     def __init__(
@@ -217,7 +217,7 @@
             self.roster.open(entry, inherited=True)
         for executor in records.unreadable_executors:
             self.roster.await_lease_expiry(executor)
-        # Starts aren't stored; each executor that an earlier owner used reports what it runs. Until
+        # Starts aren't stored; each executor that a former owner used reports what it runs. Until
         # all of them have reported, a task that isn't known to have ended may be running on one
         # that hasn't.
         if self.roster.awaiting_report:
@@ -299,7 +299,7 @@
         return task.step.room if task is not None else None
 
     def on_unknown_row(self, link: ExecutorLink, row: RunRow) -> Run | None:
-        """Adopt a run of an earlier owner if its task is still needed and runs nowhere else."""
+        """Adopt a run of a former owner if its task is still needed and runs nowhere else."""
         job = self.jobs_by_id.get(row.task.job)
         task = job.task(row.task) if job is not None else None
         if job is None or task is None or task.done or job.phase is not JobPhase.LIVE:
@@ -509,11 +509,11 @@
                 if job.spec.repeats and job.phase is JobPhase.LIVE:
                     job.open_due_occurrences(wall)
             running = self.running()
-            self.suspicions.look(running)
-            self.crashes.look(running)
-            self.pacing.look(self.roster.links_by_executor.values(), now)
+            self.suspicions.update(running)
+            self.crashes.update(running)
+            self.pacing.update(self.roster.links_by_executor.values(), now)
             self._expire_closing(now)
-            self.evacuations.look(now)
+            self.evacuations.update(now)
             if now - self._reaped_at > REAP_INTERVAL_S:
                 self._reaped_at = now
                 self._reap_ended_jobs(wall)
--- a/mustardgap/evacuations.py
+++ b/mustardgap/evacuations.py
@@ -35,7 +35,7 @@
         self._dispatcher = dispatcher
         self._stop_effect_s = stop_timeout_s + STOP_SLACK_S
 
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Stop the runs that may be stopped now on executors being emptied."""
         self.cramped.clear()
         for link in list(self._dispatcher.roster.links_by_executor.values()):
@@ -58,10 +58,10 @@
             # The start got no answer; the stop settles whether the run exists.
             if run.percent < AT_WORK_PERCENT:
                 return True
-            run.link.cancel_stop(run, "the run is at work")
+            run.link.cancel_stop(run, "it is at work")
             return False
         if not run.link.closing:
-            run.link.cancel_stop(run, "its machine is no longer emptied")
+            run.link.cancel_stop(run, "its machine is kept")
             return False
         siblings = self._dispatcher.job_of(run.task.task_id).siblings(run.task)
         return self._may_miss_one(run.task, siblings, now, reported_since=run.stop_unanswered_at)
--- a/mustardgap/executor_links.py
+++ b/mustardgap/executor_links.py
@@ -117,7 +117,7 @@
     :param port: sends orders to executors.
     :param owner: receives the link's callbacks.
     :param clock: the clocks to read.
-    :param events: the event log of this process.
+    :param events: the process's event log.
     :param shard_starts: limits the concurrent start orders of the shard.
     :param orders_in_flight: counts the unanswered start orders of the shard.
     :param inherited_lapse_at: monotonic time in seconds by which all leases of former owners have
--- a/mustardgap/executor_rosters.py
+++ b/mustardgap/executor_rosters.py
@@ -31,7 +31,7 @@
     :param dispatcher: the owner of the shard.
     :param executors: sends orders to executors.
     :param clock: the clocks to read.
-    :param events: the event log of this process.
+    :param events: the process's event log.
     """
 
     def __init__(
--- a/mustardgap/fleet_managers.py
+++ b/mustardgap/fleet_managers.py
@@ -25,7 +25,7 @@
 LIST_INTERVAL_S = 0.5
 # A machine that isn't emptied for a move in this time is reopened, as another may be easier to
 # empty.
-CLOSING_TIMEOUT_S = 6.0
+EMPTYING_TIMEOUT_S = 6.0
 # An executor that is missing from the list of machines for this long has ended. The list lags by
 # about a second at most.
 ABSENCE_TIMEOUT_S = 2.5
@@ -49,9 +49,9 @@
     :param ask: queries the owner of a pool.
     :param settled: whether no other daemon can own the shard.
     :param times: how long orders take.
-    :param clock: the source of monotonic and wall time.
+    :param clock: the clocks to read.
     :param events: the process's event log.
-    :param policy: the mechanisms that decisions use.
+    :param policy: the mechanisms that are enabled.
     """
 
     def __init__(
@@ -310,7 +310,7 @@
     def _confirm_ends(self, listed: set[str], now: float) -> None:
         """Mark executors of ordered machines as ended once they aren't listed any more.
 
-        An order that was already carried out for an earlier owner is answered as done, and ends
+        An order that was already carried out for a former owner is answered as done, and ends
         nothing. If it counted as an end, the tasks of an executor that still works would be started
         again elsewhere, and the executor would never be used again.
 
@@ -341,7 +341,7 @@
         for name, closing in list(self.state.closing_by_machine.items()):
             machine = self.state.machines_by_id.get(name)
             gone = machine is None or machine.executor != closing.executor
-            late = now - closing.since > CLOSING_TIMEOUT_S and closing.wave is None
+            late = now - closing.since > EMPTYING_TIMEOUT_S and closing.wave is None
             if name in self.state.orders_by_machine or not (gone or late):
                 continue
             del self.state.closing_by_machine[name]
--- a/mustardgap/fleet_moves.py
+++ b/mustardgap/fleet_moves.py
@@ -53,8 +53,8 @@
     :param times: the expected durations of orders.
     :param order_idle: orders the move of a machine of a standby pool to another pool.
     :param clock: the clocks to read.
-    :param events: the process's log.
-    :param policy: the mechanisms in use.
+    :param events: the process's event log.
+    :param policy: the mechanisms that are enabled.
     """
 
     def __init__(
--- a/mustardgap/fleet_orders.py
+++ b/mustardgap/fleet_orders.py
@@ -67,7 +67,7 @@
     :param times: how long orders take.
     :param on_ordered_away: called with a machine that was ordered away, and its closing.
     :param on_maintained: called with a wave's number and a machine that the wave is done with.
-    :param clock: the source of monotonic and wall time.
+    :param clock: the clocks to read.
     :param events: the process's event log.
     """
 
@@ -260,7 +260,7 @@
             self.stopped = True
             return
         if isinstance(outcome, Refused | NotInWave):
-            self._reopen(name, getattr(outcome, "detail", "not a machine of the wave"))
+            self._reopen(name, getattr(outcome, "detail", "not of the wave"))
             if isinstance(outcome, NotInWave) and closing.wave is not None:
                 self._on_maintained(closing.wave, name)
             return
--- a/mustardgap/fleet_states.py
+++ b/mustardgap/fleet_states.py
@@ -64,7 +64,7 @@
 class FleetState:
     """The fleet as its owner knows it.
 
-    :param clock: the source of monotonic and wall time.
+    :param clock: the clocks to read.
     :param events: the process's event log.
     """
 
--- a/mustardgap/fleet_waves.py
+++ b/mustardgap/fleet_waves.py
@@ -43,7 +43,7 @@
     :param has_no_spare: whether a pool has no machine to spare now.
     :param demand: a pool's demand in machines.
     :param order_idle: sends a wave's maintenance order to a machine of a standby pool.
-    :param clock: the source of monotonic and wall time.
+    :param clock: the clocks to read.
     :param events: the process's event log.
     """
 
--- a/mustardgap/isolation.py
+++ b/mustardgap/isolation.py
@@ -19,7 +19,7 @@
 EXECUTORS_PER_RESERVED = 8
 # A pool with fewer executors reserves none until a suspect has waited for MAX_ISOLATION_WAIT_S.
 MIN_POOL_EXECUTORS = 3
-# For each long-running suspect that waits, one executor is reserved, up to one in this many.
+# For each lasting suspect that waits, one executor is reserved, up to one in this many.
 EXECUTORS_PER_LASTING_SUSPECT = 4
 # A suspect that has waited for this long is started beside other tasks, because a task may not be
 # idle for 3 s.
@@ -27,7 +27,7 @@
 
 
 class _SuspectDemand(NamedTuple):
-    """The waiting suspects of a service: the longest wait, and the number of long-running ones."""
+    """The waiting suspects of a service: the longest wait, and the number of lasting ones."""
 
     longest_wait_s: float
     lasting: int
@@ -38,7 +38,7 @@
 
     After one crash, a task is started where all other runs are past their start, so that another
     crash shows whether it is the cause, and beside other suspects only, so that no other work is
-    lost. After two, it has an executor to itself, or shares one with long-running tasks if no other
+    lost. After two, it has an executor to itself, or shares one with lasting tasks if no other
     is free. Started among other tasks, each crash would make those suspects and lose their work.
 
     :param dispatcher: the owner of the tasks.
@@ -46,14 +46,14 @@
     """
 
     def __init__(self, *, dispatcher: "Dispatcher", clock: Clock) -> None:
-        self._shard = dispatcher
+        self._dispatcher = dispatcher
         self._clock = clock
         self._waiting_since: dict[TaskId, float] = {}
 
-    def look(self, jobs: Iterable[Job]) -> None:
+    def update(self, jobs: Iterable[Job]) -> None:
         """Reserve executors for waiting suspects, and release those that none needs."""
         waiting_by_service = self._waiting_by_service(jobs)
-        links = self._shard.roster.links_by_executor.values()
+        links = self._dispatcher.roster.links_by_executor.values()
         for service, waiting in waiting_by_service.items():
             _reserve((link for link in links if link.entry.service == service), waiting)
         for link in links:
@@ -127,7 +127,7 @@
     """Reserve as many executors of a pool as its suspects need, those with the least work first."""
     available = [link for link in links if link.up and link.listed and not link.closing]
     wanted = math.ceil(len(available) / EXECUTORS_PER_RESERVED)
-    # A long-running task serves users, and may not queue behind many other suspects.
+    # A lasting task serves users, and may not queue behind many other suspects.
     wanted = max(wanted, min(waiting.lasting, len(available) // EXECUTORS_PER_LASTING_SUSPECT))
     # One more for each MAX_ISOLATION_WAIT_S that a suspect has waited, up to half of the pool: the
     # first ones may each be in use for a long time.
--- a/mustardgap/job_desks.py
+++ b/mustardgap/job_desks.py
@@ -30,7 +30,7 @@
     :param dispatcher: the shard's owner.
     :param store: the durable log, asked who owns the shard.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the process's event log.
     """
 
     def __init__(
--- a/mustardgap/job_gateways.py
+++ b/mustardgap/job_gateways.py
@@ -59,8 +59,8 @@
     :param peers: calls other daemons.
     :param shards: how many shards there are.
     :param clock: the clocks to read.
-    :param events: the process's log.
-    :param policy: what takes part.
+    :param events: the process's event log.
+    :param policy: the mechanisms that are enabled.
     """
 
     def __init__(
--- a/mustardgap/job_states.py
+++ b/mustardgap/job_states.py
@@ -52,7 +52,7 @@
         self.failed_runs: set[int] = set()
         self.checkpoint = ""
         self.run: Run | None = None
-        # Whether an earlier owner may have started it on an executor that hasn't reported since.
+        # Whether a former owner may have started it on an executor that hasn't reported since.
         self.inherited = False
         # Executors on which it failed or stalled, and machines whose executors crashed while
         # running it. Others are tried first.
@@ -307,7 +307,7 @@
         return msgspec.msgpack.encode(progress)
 
     def restore(self, raw: bytes) -> None:
-        """Restore the progress that earlier owners stored."""
+        """Restore the progress that former owners stored."""
         progress = msgspec.msgpack.decode(raw, type=Progress)
         self.phase = self.durable_phase = JobPhase(progress.phase)
         self.ended_at = progress.ended_at
--- a/mustardgap/open_requests.py
+++ b/mustardgap/open_requests.py
@@ -40,7 +40,7 @@
 class OpenRequests:
     """Sees to it that each request gets exactly one answer, however its handling ends.
 
-    :param events: the process's log.
+    :param events: the process's event log.
     """
 
     def __init__(self, *, events: EventLog) -> None:
--- a/mustardgap/pacing.py
+++ b/mustardgap/pacing.py
@@ -31,7 +31,7 @@
         self._clock = clock
         self._changed_at_by_executor: dict[str, float] = {}
 
-    def look(self, links: Iterable[ExecutorLink], now: float) -> None:
+    def update(self, links: Iterable[ExecutorLink], now: float) -> None:
         """Adjust the pace on each executor to the tail latencies in its last report.
 
         :param links: the executors of the shard.
--- a/mustardgap/partition_logs.py
+++ b/mustardgap/partition_logs.py
@@ -27,7 +27,7 @@
     :param epoch: the generation at which the shard was assigned to this daemon.
     :param on_failing: called when appends start to fail.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the process's event log.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         return self._clock.monotonic() - self.failing_since
 
     async def fence(self) -> bool:
-        """Fence off earlier owners.
+        """Fence off former owners.
 
         :return: False when a later owner has fenced this one off.
         """
--- a/mustardgap/peer_calls.py
+++ b/mustardgap/peer_calls.py
@@ -56,7 +56,7 @@
 class PeerServer:
     """Answers calls of other daemons.
 
-    :param events: the process's log.
+    :param events: the process's event log.
     """
 
     def __init__(self, *, events: EventLog) -> None:
--- a/mustardgap/placing.py
+++ b/mustardgap/placing.py
@@ -75,7 +75,7 @@
 ) -> list[Job]:
     """Sort jobs by the order in which they get capacity.
 
-    Jobs with long-running tasks come first, then jobs that can be in time, then late ones. Without
+    Jobs with lasting tasks come first, then jobs that can be in time, then late ones. Without
     overload, the job with the least work left goes first, unless another has hardly any slack: so
     most jobs, also wide ones, are in time. Under overload, this order would starve wide jobs and
     start each job when its time is nearly over. Then jobs that have begun go first, the one with
@@ -261,12 +261,12 @@
     return (
         link.entry.executor in task.avoided or link.entry.machine in task.avoided,
         link.slow_marks > 0,
-        # Long-running tasks avoid departing executors; short ones prefer them.
+        # Lasting tasks avoid departing executors; short ones prefer them.
         leaves_soon if step.lasting else not leaves_soon and bool(departing),
         bool(step.data_rack) and link.entry.rack != step.data_rack,
-        # Long-running tasks share few machines, so that the others can leave the pool.
+        # Lasting tasks share few machines, so that the others can leave the pool.
         step.lasting and not link.lasting_runs,
-        # While executors crash often, short tasks avoid those with long-running tasks.
+        # While executors crash often, short tasks avoid those with lasting tasks.
         spread and not step.lasting and link.lasting_runs > 0,
         # The fullest executor that fits, so that empty machines can leave the pool. While executors
         # crash often, the emptiest: a task that crashes its executor ends all other runs there.
--- a/mustardgap/planners.py
+++ b/mustardgap/planners.py
@@ -215,7 +215,7 @@
 
     Each return costs a move, so it happens only when the spare pool is short, when the service
     holds more than its maximum, or when buffer costs more than moves. A service with a wave in
-    progress keeps its replacement host until the wave has done all its hosts. The host then goes to
+    progress keeps its stand-in host until the wave has done all its hosts. The host then goes to
     the next service that is due, if there is one.
     """
     fleet = draft.fleet
--- a/mustardgap/pool_demands.py
+++ b/mustardgap/pool_demands.py
@@ -73,7 +73,7 @@
     """Tracks one pool's demand, in thousandths of a core.
 
     :param first_size: the pool's size in machines before any were moved.
-    :param policy: the mechanisms in use.
+    :param policy: the mechanisms that are enabled.
     """
 
     def __init__(self, *, first_size: int, policy: Policy = WHOLE) -> None:
@@ -118,7 +118,7 @@
 
         :param coming: machines that are on their way to the pool.
         :param returning: those among them that a wave has taken and will return.
-        :param leaving: machines of the pool that are being drained.
+        :param leaving: machines of the pool that are being emptied.
         """
         # An executor that was resized to no capacity does no work, so it doesn't count.
         present = [e for e in view.executors if e.up_to_date and not e.draining and e.capacity_cpu]
--- a/mustardgap/pool_uses.py
+++ b/mustardgap/pool_uses.py
@@ -32,7 +32,7 @@
     """Split a pool's machine-seconds over a time by their use.
 
     :param coming: machines on their way to the pool.
-    :param leaving: machines of the pool that are being drained.
+    :param leaving: machines of the pool that are being emptied.
     :param seconds: the length of the time.
     """
     at_work = sum(e.used_cpu / e.capacity_cpu for e in view.executors if e.capacity_cpu)
@@ -61,7 +61,7 @@
         """Add the pool's use since the last call.
 
         :param coming: machines on their way to the pool.
-        :param leaving: machines of the pool that are being drained.
+        :param leaving: machines of the pool that are being emptied.
         :param now: monotonic seconds.
         :return: the use to log, about once a second; None in between.
         """
--- a/mustardgap/runs.py
+++ b/mustardgap/runs.py
@@ -25,7 +25,7 @@
     :param task: the task.
     :param number: the run's number, which rises with each run of the task.
     :param link: the link to its executor.
-    :param now: steady seconds.
+    :param now: monotonic seconds.
     """
 
     __slots__ = (
@@ -60,20 +60,20 @@
         # Whether it was still listed some time after its start.
         self.at_work = False
         self.percent = 0
-        # The executor's steady time when the run was first known there, and when its percentage
+        # The executor's monotonic time when the run was first known there, and when its percentage
         # last changed. This process's clock would add the delays of its own orders and reads.
         self.first_seen_s: float | None = None
         self.progress_changed_s = 0.0
         self.load = 0
         self.pace = 100
         self.stop_reason = ""
-        # When an attempt to stop it last ended without an answer, in steady seconds.
+        # When an attempt to stop it last ended without an answer, in monotonic seconds.
         self.stop_unanswered_at = float("-inf")
 
     def is_at_work(self, executor_time_s: float, min_age_s: float = AT_WORK_AFTER_S) -> bool:
         """Whether the run has been on its executor for a minimum time.
 
-        :param executor_time_s: the executor's steady time, in seconds.
+        :param executor_time_s: the executor's monotonic time, in seconds.
         :param min_age_s: the minimum time, in seconds.
         """
         return self.first_seen_s is not None and executor_time_s - self.first_seen_s >= min_age_s
@@ -81,7 +81,7 @@
     def note_first_seen(self, executor_time_s: float) -> None:
         """Note that the executor has the run; only the first call has an effect.
 
-        :param executor_time_s: the executor's steady time, in seconds.
+        :param executor_time_s: the executor's monotonic time, in seconds.
         """
         if self.first_seen_s is None:
             self.first_seen_s = self.progress_changed_s = executor_time_s
--- a/mustardgap/shard_logs.py
+++ b/mustardgap/shard_logs.py
@@ -50,7 +50,7 @@
     :param shard: the shard's number.
     :param epoch: the generation at which the shard was assigned to this daemon.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the process's event log.
     """
 
     def __init__(
@@ -161,7 +161,7 @@
         return not self._diverting_stopped
 
     async def open(self) -> bool:
-        """Fence off earlier owners.
+        """Fence off former owners.
 
         :return: False when a later owner has fenced this one off.
         """
--- a/mustardgap/shard_owners.py
+++ b/mustardgap/shard_owners.py
@@ -23,7 +23,7 @@
 # The interval for a daemon without shards, or whose assignment has just changed: a shard that moves
 # is served by nobody until both its old and its new owner have renewed.
 FAST_RENEW_INTERVAL_S = 0.15
-LEAVING, REASSIGNED = "leaving", "assigned to another member"
+LEAVING, REASSIGNED = "leaving", "dealt to another"
 GRACEFUL_REASONS = (LEAVING, REASSIGNED)
 
 
@@ -48,7 +48,7 @@
     :param make: creates the service for a shard, given the shard and its epoch.
     :param reach: calls the daemon at an address and returns whether it answered.
     :param clock: the clocks to read.
-    :param events: the process's log.
+    :param events: the process's event log.
     """
 
     def __init__(
--- a/mustardgap/suspicions.py
+++ b/mustardgap/suspicions.py
@@ -62,7 +62,7 @@
             return
         task.avoided.add(link.entry.executor)
         if task.step.lasting:
-            # Long-running tasks may fail at any time, which says little about the executor.
+            # Lasting tasks may fail at any time, which says little about the executor.
             return
         if not self._policy.has(Mechanism.DISTRUST):
             return
@@ -76,7 +76,7 @@
         """Pause an executor for a moment, as it has refused a start."""
         link.pause_until = max(link.pause_until, self._clock.monotonic() + REFUSED_PAUSE_S)
 
-    def look(self, runs: Iterable[Run]) -> None:
+    def update(self, runs: Iterable[Run]) -> None:
         """Stop stalled runs, and mark executors that are slow.
 
         Times are read from the executors' clocks. By its own clock, an owner whose processor is
@@ -101,7 +101,7 @@
         link = run.link
         link.slow_marks += 1
         run.task.avoided.add(link.entry.executor)
-        link.stop_run(run, "no progress")
+        link.stop_run(run, "stands still")
         if link.slow_marks >= STALLS_BEFORE_PAUSE:
             self._pause(link, PAUSE_S, "runs stand still")
 
--- a/mustardgap/task_starters.py
+++ b/mustardgap/task_starters.py
@@ -26,7 +26,7 @@
 
     :param dispatcher: the dispatcher of the shard.
     :param clock: the clocks to read.
-    :param events: the event log of the process.
+    :param events: the process's event log.
     """
 
     def __init__(self, *, dispatcher: "Dispatcher", clock: Clock, events: EventLog) -> None:
@@ -48,7 +48,7 @@
             for job in self._dispatcher.jobs_by_id.values()
             if job.phase is JobPhase.LIVE and not job.progress_unreadable
         ]
-        self._dispatcher.isolation.look(waiting)
+        self._dispatcher.isolation.update(waiting)
         for link in self._dispatcher.roster.links_by_executor.values():
             link.room_known = self._dispatcher.is_capacity_known(link.entry)
         cache = PlacementCache(links=self._dispatcher.roster.links_by_executor.values(), now=now)
