--- a/features/gateways.feature
+++ b/features/gateways.feature
@@ -107,11 +107,11 @@
     reading's whole time. The tries are bounded by the caller's time, the looks between them weren't: the caller
     had gone when it was told.
 
-    When a caller <asks>, waiting <wait> s, as reading the owners takes <read> s and they answer <answers>
+    When a caller <action>, waiting <wait> s, as reading the owners takes <read> s and they answer <answers>
     Then the caller is told <code> within its <wait> s
 
     Examples:
-      | asks           | wait | read | answers                            | code   |
+      | action         | wait | read | answers                            | code   |
       | asks for a job | 3    | 0.8  | silent for ever                    | MG4027 |
       | hands a job in | 3    | 0.8  | unknown, unknown, silent for ever  | MG4029 |
       | hands a job in | 3    | 0.8  | nobody, unknown, silent for ever   | MG4029 |
--- a/features/steps/declarations_steps.py
+++ b/features/steps/declarations_steps.py
@@ -22,8 +22,8 @@
 MAPS = ["profiles", "services", "pools", "teams", "policies"]
 KEYS = ["id", "writer", "rules", "seen", "kind", "time", "body", "changes", "key", "base", "value"]
 KEYS += ["host", "phase", "pool", "reason", "job", "step", "wave", "hosts", "room", "max_hosts"]
-WORDS = [*KEYS, "config", "profile/a", "submit", "in_service", "", "a", "checkpoint", "offset"]
-scalars = st.none() | st.booleans() | st.integers() | st.floats() | st.sampled_from(WORDS)
+STRINGS = [*KEYS, "config", "profile/a", "submit", "in_service", "", "a", "checkpoint", "offset"]
+scalars = st.none() | st.booleans() | st.integers() | st.floats() | st.sampled_from(STRINGS)
 anything = st.recursive(
     scalars,
     lambda inner: st.lists(inner, max_size=3)
@@ -61,7 +61,7 @@
 )
 
 
-def field(value, path):
+def resolve_path(value, path):
     """The map that holds a dotted path's last name, and that name."""
     *parents, last = path.split(".")
     for parent in parents:
@@ -70,18 +70,18 @@
 
 
 @given("the declarations of {user} with {key} = {value}")
-def write_one_changed(context, user, key, value):
+def write_changed_declaration(context, user, key, value):
     merged = {}
     for file in sorted((ROOT / "examples" / user).glob("*.json")):
         merged.update(json5.loads(file.read_text(encoding="utf-8")))
-    holder, name = field(merged, key)
-    holder[name] = json5.loads(value)
+    parent, name = resolve_path(merged, key)
+    parent[name] = json5.loads(value)
     context.file = context.folder / "all.json"
     context.file.write_text(json5.dumps(merged), encoding="utf-8")
 
 
 @given("the declarations of {user}")
-def name_user(context, user):
+def read_declarations(context, user):
     context.wanted = declarations.read_dir(ROOT / "examples" / user)
 
 
@@ -107,7 +107,7 @@
                 yield worker["worker"], worker.get("pool", ""), {**fleet["worker"], **place}
 
 
-def in_force(context, fleet):
+def fold_fleet(context, fleet):
     """Fold the declarations and the fleet's hosts."""
     ledger = context.ledger = Ledger()
     verdicts = [ledger.declare(context.wanted)]
@@ -119,7 +119,7 @@
 
 @then("the declarations are accepted on the fleet {fleet} and a second comparison is empty")
 def check_accepted(context, fleet):
-    state = in_force(context, fleet).state
+    state = fold_fleet(context, fleet).state
     assert declarations.diff(state.declarations_by_key, context.wanted) == []
     removed = dict(context.wanted)
     removed.pop("pool/batch")
@@ -128,21 +128,21 @@
 
 
 @given("the declarations in force on the fleet {fleet}")
-def put_in_force(context, fleet):
-    in_force(context, fleet)
+def fold_declarations(context, fleet):
+    fold_fleet(context, fleet)
 
 
 @when("the declarations change {path} to {value}")
 def change_one(context, path, value):
     key, _, rest = path.partition(".")
     wanted = json.loads(json.dumps(context.ledger.state.declarations_by_key[key].value))
-    holder, name = field(wanted, rest)
-    holder[name] = json.loads(value)
+    parent, name = resolve_path(wanted, rest)
+    parent[name] = json.loads(value)
     version = context.ledger.state.declarations_by_key[key].version
     body = {"changes": [{"key": key, "base": version, "value": wanted}]}
-    dry = folds.check(context.ledger.state, "config", body)
+    dry_run = folds.check(context.ledger.state, "config", body)
     context.verdict = context.ledger.declare({key: wanted})
-    assert isinstance(dry, Accepted) == isinstance(context.verdict, Accepted), dry
+    assert isinstance(dry_run, Accepted) == isinstance(context.verdict, Accepted), dry_run
 
 
 @when("{count:d} hosts of the fleet fail and the declarations change {path} to {value}")
--- a/features/steps/gateways_steps.py
+++ b/features/steps/gateways_steps.py
@@ -9,8 +9,8 @@
 from mustardgap import job_replies
 from mustardgap.dispatchers import Dispatcher
 from mustardgap.events import EventLog
-from mustardgap.job_desks import JobDesk
 from mustardgap.job_gateways import JobGateway
+from mustardgap.job_request_handlers import JobRequestHandler
 from mustardgap.peer_calls import PeerUnreachable
 from mustardgap.tickets import Stored, Ticket
 from mustardgap.timers import Clock
@@ -20,10 +20,10 @@
 from tools.virtual_time import VirtualClock, run
 
 # What a desk takes until it says that it doesn't know.
-UNKNOWN_S = 1.2
+UNKNOWN_REPLY_DELAY_S = 1.2
 
 
-class MovingClock(HandClock):
+class InstantSleepClock(HandClock):
     """A clock by which a sleep takes no time, and is over."""
 
     async def sleep(self, seconds):
@@ -43,13 +43,13 @@
     async def call(self, address, name, values, *, timeout_s):
         self.tries += 1
         answer = next(self._answers)
-        if answer == "silent" or (answer == "unknown" and timeout_s < UNKNOWN_S):
+        if answer == "silent" or (answer == "unknown" and timeout_s < UNKNOWN_REPLY_DELAY_S):
             await self._clock.sleep(timeout_s)
             raise PeerUnreachable(sent=True, detail="no answer")
         if answer == "refused":
             raise PeerUnreachable(sent=False, detail="connection refused")
         if answer == "unknown":
-            await self._clock.sleep(UNKNOWN_S)
+            await self._clock.sleep(UNKNOWN_REPLY_DELAY_S)
             return job_replies.UNSETTLED.encode()
         if answer == "nobody":
             return job_replies.not_owner("not any more").encode()
@@ -74,8 +74,8 @@
 
 
 @when("a caller who waits {wait:g} s hands a job in, and owners answer {answers}")
-def hand_in_once(context, wait, answers):
-    clock = MovingClock()
+def submit_job(context, wait, answers):
+    clock = InstantSleepClock()
     context.peers = ScriptedPeers(answers, clock)
     gateway = _gateway(_owners(), context.peers, clock)
     began = clock.monotonic()
@@ -86,14 +86,14 @@
 
 
 @then("the caller is told {code} after {tries:d} tries")
-def check_told(context, code, tries):
+def check_reply(context, code, tries):
     assert (str(context.reply.code), context.peers.tries) == (code, tries), (
         context.reply,
         context.peers.tries,
     )
 
 
-class StuckDesk:
+class StuckRequestHandler:
     """An owner's desk that answers nothing until it may."""
 
     def __init__(self):
@@ -109,27 +109,27 @@
 
     def __init__(self):
         self.ended = asyncio.Event()
-        self.desk = StuckDesk()
+        self.job_request_handler = StuckRequestHandler()
 
 
 @when("a caller who waits {wait:g} s hands a job in at the owner, which answers nothing")
-def hand_in_at_owner(context, wait):
+def submit_at_owner(context, wait):
     async def main():
         owner = StuckOwner()
         gateway = _gateway(_owners(dict.fromkeys(range(4), owner)), None, Clock())
-        asking = asyncio.ensure_future(
+        call = asyncio.ensure_future(
             gateway.submit(queue=QUEUE, job_id="0" * 16, spec=TWO_STEPS, wait_s=wait)
         )
-        done, _ = await asyncio.wait([asking], timeout=5.0)
-        owner.desk.may_answer.set()
-        context.told, context.reply = bool(done), await asking
+        done, _ = await asyncio.wait([call], timeout=5.0)
+        owner.job_request_handler.may_answer.set()
+        context.has_replied, context.reply = bool(done), await call
 
     asyncio.run(main())
 
 
 @then("the caller is told {code} without an answer of the owner")
-def check_told_by_gateway(context, code):
-    assert context.told and str(context.reply.code) == code, context.reply
+def check_reply_before_owner(context, code):
+    assert context.has_replied and str(context.reply.code) == code, context.reply
 
 
 def _gateway(owners, peers, clock):
@@ -143,7 +143,7 @@
     )
 
 
-class HeldLog:
+class FakeShardLog:
     """A shard's log whose appends end when they are told to."""
 
     def __init__(self):
@@ -158,7 +158,7 @@
         return 0.0
 
 
-def _shard(log):
+def _dispatcher(log):
     return SimpleNamespace(
         loaded=True,
         handing_over=False,
@@ -179,24 +179,24 @@
 
 
 @when("a job comes again that is {state}, and its owner is handing over")
-def hand_in_again(context, state):
+def resubmit_job(context, state):
     async def main():
-        log = HeldLog()
-        shard = _shard(log)
+        log = FakeShardLog()
+        dispatcher = _dispatcher(log)
         clock = Clock()
-        desk = JobDesk(
-            dispatcher=shard, store=None, clock=clock, events=EventLog(host="e1", clock=clock)
+        handler = JobRequestHandler(
+            dispatcher=dispatcher, store=None, clock=clock, events=EventLog(host="e1", clock=clock)
         )
         request = {"job_id": "0" * 16, "queue": QUEUE, "spec": TWO_STEPS}
         calls = []
         if state != "new to it":
-            calls.append(asyncio.ensure_future(desk.submit(**request)))
+            calls.append(asyncio.ensure_future(handler.submit(**request)))
             await asyncio.sleep(0)
         if state == "on record":
             log.ticket.outcome.set_result(Stored.YES)
             await calls[0]
-        shard.handing_over = True
-        calls.append(asyncio.ensure_future(desk.submit(**request)))
+        dispatcher.handing_over = True
+        calls.append(asyncio.ensure_future(handler.submit(**request)))
         await asyncio.sleep(0)
         if state in STORED_BY_STATE:
             log.ticket.outcome.set_result(STORED_BY_STATE[state])
@@ -206,28 +206,28 @@
 
 
 @then("the caller is told {code} by the desk")
-def check_told_by_desk(context, code):
+def check_handler_reply(context, code):
     assert str(context.reply.code) == code, context.reply
 
 
 @then("the caller is told {code} within its {wait:g} s")
-def check_told_in_time(context, code, wait):
+def check_reply_in_time(context, code, wait):
     assert str(context.reply.code) == code, context.reply
     assert context.took_s <= wait, context.took_s
 
 
 @when(
-    "a caller {asks}, waiting {wait:g} s, as reading the owners takes {read:g} s "
+    "a caller {action}, waiting {wait:g} s, as reading the owners takes {read:g} s "
     "and they answer {answers}"
 )
-def ask_beside_slow_reading(context, asks, wait, read, answers):
+def call_during_slow_reads(context, action, wait, read, answers):
     async def main():
         clock = VirtualClock(loop=asyncio.get_running_loop())
         context.peers = ScriptedPeers(answers, clock)
         owners = _owners(refresh=lambda: clock.sleep(read))
         gateway = _gateway(owners, context.peers, clock)
         began = clock.monotonic()
-        if asks == "asks for a job":
+        if action == "asks for a job":
             queue = QUEUE._replace(timeout_s=wait)
             context.reply = await gateway.state(queue=queue, job_id="0" * 16)
         else:
--- a/features/support/answer_cases.py
+++ b/features/support/answer_cases.py
@@ -21,7 +21,8 @@
 
 JOB = "00000000000000a1"
 BODY = b'{"spec":"p","steps":[{"count":1,"cpu":1000,"memMb":500,"estimateMs":500}]}'
-# Shorter than what a desk waits for the store, so that a change isn't put to a silent one twice.
+# Shorter than what a job request handler waits for the store, so that a change isn't put to a
+# silent one twice.
 DEADLINE_MS = 1000
 # A request is unanswered once its handling has been over for so long, or the caller has waited for
 # several times as long as all calls of its handling take together.
@@ -295,7 +296,7 @@
     dispatcher = world.owner.dispatcher
     assert dispatcher is not None
     if situation.is_on_record:
-        reply = await dispatcher.desk.submit(job_id=JOB, queue=QUEUE, spec=TWO_STEPS)
+        reply = await dispatcher.job_request_handler.submit(job_id=JOB, queue=QUEUE, spec=TWO_STEPS)
         assert reply.code.http_status == 200, reply
         await until(lambda: JOB in dispatcher.jobs_by_id, "the job is accepted")
     if situation.earlier:
--- a/mustardgap/declarations.py
+++ b/mustardgap/declarations.py
@@ -28,13 +28,13 @@
     :return: the values by ``kind/name``, sorted.
     :raises SettingsError: MG2000, MG2001, MG3005 or MG3008 with ``file:key``.
     """
-    folder = Path(path)
-    if not folder.is_dir():
+    directory = Path(path)
+    if not directory.is_dir():
         detail = "no such directory"
         raise SettingsError(code=status_codes.SETTINGS_UNREADABLE, detail=detail, place=str(path))
     values_by_key: dict[str, Any] = {}
     files_by_key: dict[str, Path] = {}
-    for file in sorted(folder.glob("*.json")):
+    for file in sorted(directory.glob("*.json")):
         for key, value in _read_file(file):
             if key in files_by_key:
                 detail = f"{key} is declared in {files_by_key[key].name} already"
@@ -67,9 +67,9 @@
     try:
         schemas.check_value(kind, value)
     except msgspec.ValidationError as exc:
-        detail, _, where = str(exc).partition(" - at `$")
+        detail, _, value_path = str(exc).partition(" - at `$")
         detail = setting_checks.hint(detail, schemas.SCHEMAS_BY_KIND[kind])
-        raise _invalid(detail, place + where.rstrip("`")) from None
+        raise _invalid(detail, place + value_path.rstrip("`")) from None
 
 
 def reference_errors(values_by_key: Mapping[str, Any]) -> Iterable[tuple[Code, str, str]]:
--- a/mustardgap/dispatchers.py
+++ b/mustardgap/dispatchers.py
@@ -12,7 +12,7 @@
 from .executor_links import ExecutorLink
 from .executor_rosters import AUTHORITY_S, OTHER_INCARNATION_ANSWERS, ExecutorRoster
 from .isolation import Isolation
-from .job_desks import JobDesk
+from .job_request_handlers import JobRequestHandler
 from .job_states import (
     Job,
     JobPhase,
@@ -126,7 +126,9 @@
         self.crashes = CrashTracker(dispatcher=self, clock=clock, events=events, policy=policy)
         self.isolation = Isolation(dispatcher=self, clock=clock)
         self.advices = AdviceTicketCache(advice=advice, clock=clock, events=events)
-        self.desk = JobDesk(dispatcher=self, store=store, clock=clock, events=events)
+        self.job_request_handler = JobRequestHandler(
+            dispatcher=self, store=store, clock=clock, events=events
+        )
         self.roster = ExecutorRoster(
             dispatcher=self, executors=executors, clock=clock, events=events
         )
