--- a/features/declarations.feature
+++ b/features/declarations.feature
@@ -1,6 +1,6 @@
 Feature: Declarations are checked before they are published
-  A declaration that is misspelt, in the wrong unit or impossible shows itself only when a drain is
-  refused or a service falls short. Each is refused with a numbered code, the file and the key.
+  A declaration that is misspelt, in the wrong unit or impossible to satisfy would show only when a
+  drain is refused or a service lacks hosts. Each is refused with a numbered code, file and key.
 
   Scenario Outline: the declarations of <user> fit their fleet
     Given the declarations of <user>
@@ -42,9 +42,9 @@
       | policies.default.buffer_weight            | true                    | 3005 | policy/default.buffer_weight              | got `bool`                      |
       | hosts.one                                 | {}                      | 3005 | hosts                                     | no kind hosts                   |
 
-  Scenario Outline: what the hosts can't satisfy is refused with the budget and by how much
+  Scenario Outline: a declaration that the hosts can't satisfy is refused with budget and shortage
     An operator publishes a profile that the running hosts can't satisfy. Accepted, it would stop
-    every drain and wave of the service for good without a word.
+    every drain and wave of the service for good without an error.
     Given the declarations of kochi
     And the declarations in force on the fleet thekkady
     When the declarations change <key> to <value>
@@ -58,9 +58,10 @@
       | pool/batch.min_hosts                  | 4     | none | -                                                                                                                 |
       | pool/office.service                   | ""    | 3010 | pool office holds 6 hosts, move them out first                                                                    |
 
-  Scenario: a shortage that is there already may be lessened
-    Racks fail and the services together miss hosts. The operator lowers a profile, which helps
-    though not enough; refusing that would keep the fleet in its worst state. Raising one is refused.
+  Scenario: an existing shortage may be reduced
+    Racks fail and the services together lack hosts. The operator lowers a profile's requirement,
+    which reduces the shortage in part; refusing that would keep it at its worst. Raising one is
+    refused.
     Given the declarations of kochi
     And the declarations in force on the fleet thekkady
     When 22 hosts of the fleet fail and the declarations change profile/swift.availability.min_hosts to 3
@@ -68,8 +69,8 @@
     When the declarations change profile/swift.availability.min_hosts to 4
     Then the declarations are rejected as MG3006 with all services and pools together
 
-  Scenario: anything at all in a folder or a record is answered with a code
-    Whatever a file or a record on the log holds, reading it must end in a value or a numbered
+  Scenario: arbitrary content of files and records is accepted or refused with a code
+    Whatever a file or a record on the log contains, reading it must end in a value or a numbered
     error; an exception in the fold would stop every daemon at the same offset for good.
-    Then the declarations' files may hold anything
-    And the records folded may hold anything
+    Then declaration files may contain arbitrary values
+    And folded records may contain arbitrary values
--- a/features/steps/declarations_steps.py
+++ b/features/steps/declarations_steps.py
@@ -62,7 +62,7 @@
 
 
 def resolve_path(value, path):
-    """The map that holds a dotted path's last name, and that name."""
+    """Return the map that contains the last key of a dotted path, and that key."""
     *parents, last = path.split(".")
     for parent in parents:
         value = value.setdefault(parent, {})
@@ -94,11 +94,11 @@
         assert exc.place == f"{context.file}:{place}", exc
         assert detail in exc.detail, exc
     else:
-        raise AssertionError("it was read")
+        raise AssertionError("the invalid declarations were accepted")
 
 
 def fleet_hosts(name):
-    """The hosts of a stand-in's fleet file, each with its pool and facts."""
+    """Yield the hosts of a stand-in's fleet file, each with its pool and facts."""
     fleet = json5.loads((ROOT / "standins" / "fleets" / f"{name}.json").read_text())
     for center in fleet["data_centers"]:
         for rack in center["racks"]:
@@ -108,7 +108,7 @@
 
 
 def fold_fleet(context, fleet):
-    """Fold the declarations and the fleet's hosts."""
+    """Fold the declarations and the fleet's hosts into a ledger."""
     ledger = context.ledger = Ledger()
     verdicts = [ledger.declare(context.wanted)]
     for host, pool, facts in fleet_hosts(fleet):
@@ -168,7 +168,7 @@
     assert detail in context.verdict.detail, context.verdict
 
 
-@then("the declarations' files may hold anything")
+@then("declaration files may contain arbitrary values")
 def fuzz_files(context):
     folder = context.folder
 
@@ -184,7 +184,7 @@
     read()
 
 
-@then("the records folded may hold anything")
+@then("folded records may contain arbitrary values")
 def fuzz_records(context):
     @BOUNDED
     @given_any(values=st.lists(envelopes, min_size=1, max_size=5))
--- a/features/steps/gateways_steps.py
+++ b/features/steps/gateways_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the way from a caller's daemon to the owner of its queue."""
+"""Steps for calls that a caller's daemon forwards to the owner of its queue."""
 
 import asyncio
 from itertools import chain, repeat
@@ -19,19 +19,19 @@
 from tools.owner_worlds import QUEUE
 from tools.virtual_time import VirtualClock, run
 
-# What a desk takes until it says that it doesn't know.
+# The time after which a job request handler replies that the outcome is unknown.
 UNKNOWN_REPLY_DELAY_S = 1.2
 
 
 class InstantSleepClock(HandClock):
-    """A clock by which a sleep takes no time, and is over."""
+    """A clock whose sleeps return at once and advance it."""
 
     async def sleep(self, seconds):
         self.now += seconds
 
 
 class ScriptedPeers:
-    """Owners that answer as they are told to, one call after another."""
+    """Owners that give scripted answers, one per call."""
 
     def __init__(self, answers, clock):
         steps = answers.removesuffix(" for ever").split(", ")
@@ -51,19 +51,19 @@
         if answer == "unknown":
             await self._clock.sleep(UNKNOWN_REPLY_DELAY_S)
             return job_replies.UNSETTLED.encode()
-        if answer == "nobody":
+        if answer == "no owner":
             return job_replies.not_owner("not any more").encode()
-        if answer == "away":
-            return job_replies.store_away("away").encode()
+        if answer == "store unavailable":
+            return job_replies.store_away("store unavailable").encode()
         return job_replies.ACCEPTED.encode()
 
 
 async def _refresh():
-    """Nothing has changed."""
+    """Read owners that haven't changed."""
 
 
 def _owners(owned_by_shard=None, refresh=_refresh):
-    """What a daemon knows of the owners: one other daemon owns what it doesn't."""
+    """A fake of the owners: one other daemon owns the shards that this one doesn't."""
     return SimpleNamespace(
         owned_by_shard=owned_by_shard or {},
         members_by_shard={},
@@ -73,7 +73,7 @@
     )
 
 
-@when("a caller who waits {wait:g} s hands a job in, and owners answer {answers}")
+@when("a caller who waits {wait:g} s submits a job, and owners answer {answers}")
 def submit_job(context, wait, answers):
     clock = InstantSleepClock()
     context.peers = ScriptedPeers(answers, clock)
@@ -94,7 +94,7 @@
 
 
 class StuckRequestHandler:
-    """An owner's desk that answers nothing until it may."""
+    """A job request handler that doesn't answer until it is allowed to."""
 
     def __init__(self):
         self.may_answer = asyncio.Event()
@@ -105,14 +105,14 @@
 
 
 class StuckOwner(Dispatcher):
-    """A shard's owner with such a desk."""
+    """A shard's owner with a ``StuckRequestHandler``."""
 
     def __init__(self):
         self.ended = asyncio.Event()
         self.job_request_handler = StuckRequestHandler()
 
 
-@when("a caller who waits {wait:g} s hands a job in at the owner, which answers nothing")
+@when("a caller who waits {wait:g} s submits a job to the owner, which doesn't answer")
 def submit_at_owner(context, wait):
     async def main():
         owner = StuckOwner()
@@ -127,7 +127,7 @@
     asyncio.run(main())
 
 
-@then("the caller is told {code} without an answer of the owner")
+@then("the caller is told {code} without an answer from the owner")
 def check_reply_before_owner(context, code):
     assert context.has_replied and str(context.reply.code) == code, context.reply
 
@@ -144,7 +144,7 @@
 
 
 class FakeShardLog:
-    """A shard's log whose appends end when they are told to."""
+    """A shard's log whose appends end only when the test resolves their ticket."""
 
     def __init__(self):
         self.ticket = None
@@ -174,11 +174,11 @@
 STORED_BY_STATE = {
     "being stored, and is stored": Stored.YES,
     "being stored, and isn't": Stored.NO,
-    "being stored, nobody knows": Stored.UNKNOWN,
+    "being stored, unknown": Stored.UNKNOWN,
 }
 
 
-@when("a job comes again that is {state}, and its owner is handing over")
+@when("a job is submitted again that is {state}, and its owner is handing over")
 def resubmit_job(context, state):
     async def main():
         log = FakeShardLog()
@@ -189,10 +189,10 @@
         )
         request = {"job_id": "0" * 16, "queue": QUEUE, "spec": TWO_STEPS}
         calls = []
-        if state != "new to it":
+        if state != "new to the owner":
             calls.append(asyncio.ensure_future(handler.submit(**request)))
             await asyncio.sleep(0)
-        if state == "on record":
+        if state == "stored":
             log.ticket.outcome.set_result(Stored.YES)
             await calls[0]
         dispatcher.handing_over = True
@@ -205,7 +205,7 @@
     asyncio.run(main())
 
 
-@then("the caller is told {code} by the desk")
+@then("the caller is told {code} by the job request handler")
 def check_handler_reply(context, code):
     assert str(context.reply.code) == code, context.reply
 
@@ -217,7 +217,7 @@
 
 
 @when(
-    "a caller {action}, waiting {wait:g} s, as reading the owners takes {read:g} s "
+    "a caller {action}, waiting {wait:g} s, while reading the owners takes {read:g} s "
     "and they answer {answers}"
 )
 def call_during_slow_reads(context, action, wait, read, answers):
@@ -227,7 +227,7 @@
         owners = _owners(refresh=lambda: clock.sleep(read))
         gateway = _gateway(owners, context.peers, clock)
         began = clock.monotonic()
-        if action == "asks for a job":
+        if action == "queries a job":
             queue = QUEUE._replace(timeout_s=wait)
             context.reply = await gateway.state(queue=queue, job_id="0" * 16)
         else:
--- a/mustardgap/declarations.py
+++ b/mustardgap/declarations.py
@@ -1,4 +1,4 @@
-"""Reading, checking and comparing the declarations that operators keep in version control."""
+"""Reads, checks and compares the declarations that operators keep in version control."""
 
 from collections.abc import Iterable, Mapping
 from pathlib import Path
@@ -53,8 +53,8 @@
 
     :param key: its ``kind/name``.
     :param value: its value.
-    :param place: where it stands, for the error; the key when empty.
-    :raises SettingsError: MG3005 with the place down to the key at fault.
+    :param place: its place for the error; the key when empty.
+    :raises SettingsError: MG3005 with the place, down to the invalid key.
     """
     place = place or key
     kind, _, name = key.partition("/")
@@ -73,10 +73,10 @@
 
 
 def reference_errors(values_by_key: Mapping[str, Any]) -> Iterable[tuple[Code, str, str]]:
-    """Find what doesn't fit together.
+    """Find references to missing declarations, and paths that two services share.
 
-    :param values_by_key: all declarations by ``kind/name``, each checked by itself.
-    :return: the code, the key at fault and the detail of each error.
+    :param values_by_key: all declarations by ``kind/name``, each already checked by itself.
+    :return: the code, the key and the detail of each error.
     """
     keys_by_path: dict[str, str] = {}
     for key, value in sorted(values_by_key.items()):
@@ -94,11 +94,11 @@
 def diff(
     declarations_by_key: Mapping[str, Declaration], wanted_by_key: Mapping[str, Any]
 ) -> list[Change]:
-    """The changes that lead from what is in force to what is wanted.
+    """Return the changes that lead from the declarations in force to the wanted ones.
 
     :param declarations_by_key: the declarations in force.
-    :param wanted_by_key: the values wanted; whatever is missing in them is removed.
-    :return: the changes, each with the version it is based on, by key.
+    :param wanted_by_key: the wanted values; declarations that are missing here are removed.
+    :return: the changes, sorted by key, each with the version that it is based on.
     """
     changes = []
     for key in sorted({*declarations_by_key, *wanted_by_key}):
--- a/mustardgap/job_gateways.py
+++ b/mustardgap/job_gateways.py
@@ -1,4 +1,4 @@
-"""The way of a caller's request to the owner of its queue, here or on another daemon."""
+"""Forwards callers' requests to the owner of their queue, here or on another daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,33 +19,33 @@
 from .timers import Clock
 from .workloads import JobSpec, Queue
 
-# An owner answers within a few milliseconds, or once the store has answered it.
+# The time of one try of a change. An owner replies within a few milliseconds, or once the store
+# has answered it.
 CHANGE_TIMEOUT_S = 1.5
-# An owner that is frozen or cut off answers nothing; a caller who only asks is told so soon.
+# The time of one try of a query. If the owner is frozen or cut off, the caller learns so soon.
 QUERY_TIMEOUT_S = 0.6
-# A daemon that only has to say that it is there does so within a few milliseconds.
+# A live daemon answers an "alive" call within a few milliseconds.
 REACH_TIMEOUT_S = 0.4
-# A pool's view serves one round of the fleet's owner.
+# Each round of the fleet's owner waits for the views of the pools.
 POOL_VIEW_TIMEOUT_S = 0.4
-# How often an owner is looked for, and the pause before: waiting 0.3 s in all spares most callers
-# of a hand-over a refusal, after which they would come back a second later.
+# The tries of a call that finds no owner, and the pause between them. Waiting 0.3 s in all spares
+# most callers a rejection during a hand-over, after which they would retry a second later.
 MAX_TRIES = 4
 RETRY_DELAY_S = 0.1
-# A change whose outcome isn't known is put again until so long before its caller stops waiting: the
-# answer's way, some 8 ms to the farthest clients, and the time that a busy host takes for it.
+# Tries end this long before the caller stops waiting. It covers the answer's way, some 8 ms to the
+# farthest clients, and the time that a busy host takes to send it.
 REPLY_MARGIN_S = 0.15
-# What a caller's only try gets however short its time is: an owner's usual answer.
+# The minimum time of a try, however little the caller has left. Owners usually answer within it.
 MIN_TRY_S = 0.05
 
-# Calls that change something.
 CHANGE_CALLS = ("submit", "cancel")
 
-# Answers that say that a call had no effect.
+# Codes of replies to calls that had no effect.
 NO_EFFECT_CODES = (status_codes.OWNER_UNAVAILABLE, status_codes.STORE_UNAVAILABLE)
 
 
 class CallResult(NamedTuple):
-    """What a caller is told, and how often its call was put to an owner."""
+    """The reply to a caller, and the number of tries that it took."""
 
     reply: JobReply
     tries: int
@@ -54,10 +54,10 @@
 class JobGateway:
     """Answers the callers of the job interface.
 
-    :param owners: who owns which shard.
-    :param operator: the configuration.
+    :param owners: the owners of the shards.
+    :param operator: holds the configuration.
     :param peers: calls other daemons.
-    :param shards: how many shards there are.
+    :param shards: the number of shards.
     :param clock: the clocks to read.
     :param events: the process's event log.
     :param policy: the mechanisms that are enabled.
@@ -84,7 +84,7 @@
         self._refreshed_at = float("-inf")
 
     def queue_for(self, host: str, path: str) -> Queue | JobReply:
-        """The queue that a request means, or the answer when there is none."""
+        """Return the queue that a request is for, or the reply when there is none."""
         configuration = self._operator.configuration
         if configuration is None:
             return job_replies.NO_CONFIGURATION
@@ -93,9 +93,9 @@
     async def submit(
         self, *, queue: Queue, job_id: str, spec: JobSpec, wait_s: float | None = None
     ) -> JobReply:
-        """Hand a job in.
+        """Submit a job.
 
-        :param wait_s: how long the caller waits; the queue's timeout if it doesn't say.
+        :param wait_s: seconds that the caller waits, by default the queue's timeout.
         """
         values = [job_id, queue, spec]
         return await self._call(
@@ -105,22 +105,25 @@
     async def cancel(self, *, queue: Queue, job_id: str, wait_s: float | None = None) -> JobReply:
         """Cancel a job.
 
-        :param wait_s: how long the caller waits; the queue's timeout if it doesn't say.
+        :param wait_s: seconds that the caller waits, by default the queue's timeout.
         """
         return await self._call(
             "cancel", queue, [job_id], CHANGE_TIMEOUT_S, job_id=job_id, wait_s=wait_s
         )
 
     async def state(self, *, queue: Queue, job_id: str) -> JobReply:
-        """Ask for a job's state."""
+        """Query a job's state."""
         return await self._call("state", queue, [job_id], QUERY_TIMEOUT_S, job_id=job_id)
 
     async def pending(self, *, queue: Queue) -> JobReply:
-        """Ask how many jobs of a queue haven't begun."""
+        """Query how many jobs of a queue haven't started."""
         return await self._call("pending", queue, [queue.name], QUERY_TIMEOUT_S, job_id="")
 
     async def pool(self, request: PoolRequest) -> PoolView | None:
-        """Ask the owner of a service's queues for its pool, None if it can't be reached."""
+        """Query the owner of a service's queues for its pool.
+
+        :return: the view of the pool, None if there is none or the owner can't be reached.
+        """
         shard = shard_of(request.service, self._shards)
         if shard in self._owners.owned_by_shard:
             return self._local_pool_view(shard, request)
@@ -148,7 +151,7 @@
         return self._local_pool_view(shard, msgspec.convert(request, PoolRequest))
 
     async def reach(self, address: str) -> bool:
-        """Call the daemon at an address; whether it has answered."""
+        """Call the daemon at an address and return whether it answered."""
         try:
             await self._peers.call(address, "alive", None, timeout_s=REACH_TIMEOUT_S)
         except PeerUnreachable as exc:
@@ -160,7 +163,7 @@
         return True
 
     def serve(self, server: PeerServer) -> None:
-        """Answer the calls of other daemons for shards that this one owns."""
+        """Register the handlers of other daemons' calls for shards that this daemon owns."""
         for name in ("submit", "cancel", "state", "pending"):
             server.handle(name, self._handler(name))
         server.handle("pool", self._answer_pool)
@@ -196,29 +199,29 @@
     async def _call_with_retries(
         self, shard: int, name: str, values: list[Any], timeout_s: float, deadline: float
     ) -> CallResult:
-        """Put a call to the owner, again where that may help.
+        """Call the owner, and retry where that may help.
 
         :param timeout_s: seconds that one try may take.
-        :param until: the steady time at which the caller has to be told.
+        :param deadline: the monotonic time by which the caller must get its reply.
         """
         tries = 0
         unsettled: JobReply | None = None
         while True:
             tries += 1
-            # A try that outlasts its caller's time ends when there is nobody left to be told.
+            # A try must not outlast its caller's time: nobody would be left to get the reply.
             left_s = max(deadline - self._clock.monotonic(), MIN_TRY_S)
             reply = await self._try_once(shard, name, values, timeout_s, left_s)
             if reply.code is status_codes.JOB_UNSETTLED:
                 unsettled = reply
             if not self._must_retry(reply, tries, unsettled is not None, deadline):
                 break
-            # A shard that is handed over in good order has its new owner within a few tenths.
+            # After a graceful hand-over, a shard has its new owner within a few tenths of a second.
             await self._clock.sleep(RETRY_DELAY_S)
             await self._refresh_by(deadline)
             if self._clock.monotonic() >= deadline:
                 break
         if unsettled is not None and reply.code in NO_EFFECT_CODES:
-            # An earlier try may have done it, so that it wasn't done can't be said any more.
+            # An earlier try may have made the change, so the reply mustn't say that it wasn't made.
             reply = unsettled
         return CallResult(reply, tries)
 
@@ -231,7 +234,7 @@
         result: CallResult,
         took_s: float,
     ) -> None:
-        """Write a line for a change, and for whatever wasn't answered with success."""
+        """Log changes, and other calls that failed unless their job is unknown."""
         reply = result.reply
         failed = reply.code.http_status >= 400
         if failed and reply.code is not status_codes.SUBMITTED_JOB_UNKNOWN:
@@ -260,10 +263,10 @@
             )
 
     def _must_retry(self, reply: JobReply, tries: int, unsettled: bool, deadline: float) -> bool:
-        """Whether to put a call again.
+        """Whether to retry a call.
 
-        A change under a job's id may be put any number of times. Told that nobody knows what became
-        of it, its caller can neither go on nor put it again.
+        A change of a job may be sent any number of times, as the job's id makes it idempotent. A
+        caller who is told that its outcome is unknown can neither proceed nor retry.
         """
         if self._clock.monotonic() + RETRY_DELAY_S >= deadline:
             return False
@@ -275,10 +278,10 @@
     async def _try_once(
         self, shard: int, name: str, values: list[Any], timeout_s: float, left_s: float
     ) -> JobReply:
-        """Put a call to the owner once.
+        """Call the owner once.
 
         :param timeout_s: seconds that another daemon may take.
-        :param left_s: seconds until the caller has to be told.
+        :param left_s: seconds until the caller must get its reply.
         """
         if shard in self._owners.owned_by_shard:
             try:
@@ -318,13 +321,13 @@
         return owned.job_request_handler.pending(values[0])
 
     async def _refresh_by(self, deadline: float) -> None:
-        """Look for the owner anew; a store that is slow to tell costs no caller its answer."""
+        """Read the owners again; a slow store mustn't cost the caller its reply."""
         with suppress(TimeoutError):
             async with asyncio.timeout(deadline - self._clock.monotonic()):
                 await self._refresh()
 
     async def _refresh(self) -> None:
-        # Many requests may find an owner gone at once; one reading serves all of them.
+        # Many requests may find an owner gone at the same time; one read serves all of them.
         now = self._clock.monotonic()
         if now - self._refreshed_at > 0.2:
             self._refreshed_at = now
--- a/mustardgap/job_request_handlers.py
+++ b/mustardgap/job_request_handlers.py
@@ -1,4 +1,4 @@
-"""What callers ask the owner of a shard: to accept, cancel or tell of a job."""
+"""The requests of callers to the owner of a shard: to submit, cancel or query jobs."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -16,19 +16,19 @@
 if TYPE_CHECKING:
     from .dispatchers import Dispatcher
 
-# How long a caller waits for its job to be stored: some 60 times the usual append of 8 ms, which
-# is what a slow store takes.
+# How long a caller waits for a record to be stored. A slow store takes some 60 times the usual 8 ms
+# for an append.
 STORE_WAIT_S = 1.2
-# Callers are refused at once when the store has answered nothing for so long; one lost answer,
-# which is repeated after some 0.3 s, is no reason.
+# New jobs are rejected at once when the store has taken no records for this long. A single lost
+# answer, after which the append is repeated within about 0.3 s, isn't enough.
 MAX_STORE_FAILING_S = 0.6
 
 
 class JobRequestHandler:
-    """Answers callers for the jobs of one shard, by what is durable.
+    """Answers requests for the jobs of one shard from what is durably stored.
 
     :param dispatcher: the shard's owner.
-    :param store: the durable log, asked who owns the shard.
+    :param store: the platform's store, which decides who owns the shard.
     :param clock: the clocks to read.
     :param events: the process's event log.
     """
@@ -43,9 +43,9 @@
         self._accepting_by_id: dict[str, Ticket] = {}
 
     async def submit(self, *, job_id: str, queue: Queue, spec: JobSpec) -> JobReply:
-        """Accept a job durably; a repeat of an id changes nothing.
+        """Accept a job durably; submitting an id again changes nothing.
 
-        :return: MG4020 stored, MG4027 or MG4028 certainly not stored, MG4029 not known.
+        :return: MG4020 if stored, MG4027 or MG4028 if certainly not, MG4029 if unknown.
         """
         if not self._dispatcher.loaded:
             return job_replies.not_owner("the owner is reading its jobs")
@@ -53,7 +53,7 @@
             return job_replies.ACCEPTED
         ticket = self._accepting_by_id.get(job_id)
         if ticket is None:
-            # Only what is new: refused as not run, a job that is on record would run all the same.
+            # Only new jobs are rejected: a stored one would run although reported as not run.
             if self._dispatcher.handing_over:
                 return job_replies.not_owner("the owner is handing over its jobs")
             if self._dispatcher.log.failing_s() > MAX_STORE_FAILING_S:
@@ -65,7 +65,7 @@
         return await self._reply_when_stored(ticket, JOB_KEY + job_id, job_replies.ACCEPTED)
 
     async def cancel(self, job_id: str) -> JobReply:
-        """Cancel a job durably, then stop what runs of it."""
+        """Cancel a job durably and stop its runs."""
         if not self._dispatcher.loaded:
             return job_replies.not_owner("the owner is reading its jobs")
         accepting = self._accepting_by_id.get(job_id)
@@ -82,7 +82,7 @@
         return await self._reply_when_stored(ticket, PROGRESS_KEY + job_id, job_replies.CANCELLED)
 
     async def state(self, job_id: str) -> JobReply:
-        """Where a job stands, by what is durable."""
+        """Return a job's state; its end is reported only once it is durable."""
         if not self._dispatcher.loaded:
             return job_replies.not_owner("the owner is reading its jobs")
         job = self._dispatcher.jobs_by_id.get(job_id)
@@ -97,7 +97,7 @@
         return JobReply(status_codes.JOB_STATE, state=name)
 
     def pending(self, queue_name: str) -> JobReply:
-        """How many accepted jobs of a queue haven't begun."""
+        """Return how many accepted jobs of a queue haven't started."""
         if not self._dispatcher.loaded or not self._dispatcher.settled():
             return job_replies.not_owner("the owner isn't sure of its jobs")
         count = sum(
@@ -108,8 +108,8 @@
         return JobReply(status_codes.JOB_STATE, pending=count)
 
     async def _reply_to_unknown_job(self) -> JobReply:
-        # The shard may have been dealt to another, who has accepted the job: its caller would be
-        # told that the job doesn't exist. The store knows who owns the shard at this moment.
+        # The shard may have been assigned to another daemon that has accepted the job; the caller
+        # mustn't be told that it doesn't exist. The store knows the current owner.
         outcome = await self._store.fence(
             shard=self._dispatcher.shard, epoch=self._dispatcher.epoch
         )
@@ -133,8 +133,8 @@
         return job_replies.UNSETTLED
 
     async def _add_when_stored(self, job_id: str, stored: StoredJob, ticket: Ticket) -> None:
-        # Awaiting the future itself would cancel it with this task when the ownership ends, and the
-        # caller, who waits for it too, would get no answer at all.
+        # Awaiting the future directly would cancel it with this task when the ownership ends, and
+        # the caller, who waits for it too, would get no answer.
         await asyncio.wait([ticket.outcome])
         outcome = ticket.outcome.result()
         del self._accepting_by_id[job_id]
