--- a/mustardgap/declarations.py
+++ b/mustardgap/declarations.py
@@ -1,4 +1,4 @@
-"""Reading, checking and comparing the declarations that operators keep in version control."""
+"""Reads, checks and compares the declarations that operators keep in version control."""
 
 from collections.abc import Iterable, Mapping
 from pathlib import Path
@@ -28,13 +28,13 @@
     :return: the values by ``kind/name``, sorted.
     :raises SettingsError: MG2000, MG2001, MG3005 or MG3008 with ``file:key``.
     """
-    folder = Path(path)
-    if not folder.is_dir():
+    directory = Path(path)
+    if not directory.is_dir():
         detail = "no such directory"
         raise SettingsError(code=status_codes.SETTINGS_UNREADABLE, detail=detail, place=str(path))
     values_by_key: dict[str, Any] = {}
     files_by_key: dict[str, Path] = {}
-    for file in sorted(folder.glob("*.json")):
+    for file in sorted(directory.glob("*.json")):
         for key, value in _read_file(file):
             if key in files_by_key:
                 detail = f"{key} is declared in {files_by_key[key].name} already"
@@ -53,8 +53,8 @@
 
     :param key: its ``kind/name``.
     :param value: its value.
-    :param place: where it stands, for the error; the key when empty.
-    :raises SettingsError: MG3005 with the place down to the key at fault.
+    :param place: its place for the error; the key when empty.
+    :raises SettingsError: MG3005 with the place, down to the invalid key.
     """
     place = place or key
     kind, _, name = key.partition("/")
@@ -67,16 +67,16 @@
     try:
         schemas.check_value(kind, value)
     except msgspec.ValidationError as exc:
-        detail, _, where = str(exc).partition(" - at `$")
+        detail, _, value_path = str(exc).partition(" - at `$")
         detail = setting_checks.hint(detail, schemas.SCHEMAS_BY_KIND[kind])
-        raise _invalid(detail, place + where.rstrip("`")) from None
+        raise _invalid(detail, place + value_path.rstrip("`")) from None
 
 
 def reference_errors(values_by_key: Mapping[str, Any]) -> Iterable[tuple[Code, str, str]]:
-    """Find what doesn't fit together.
+    """Find references to missing declarations, and paths that two services share.
 
-    :param values_by_key: all declarations by ``kind/name``, each checked by itself.
-    :return: the code, the key at fault and the detail of each error.
+    :param values_by_key: all declarations by ``kind/name``, each already checked by itself.
+    :return: the code, the key and the detail of each error.
     """
     keys_by_path: dict[str, str] = {}
     for key, value in sorted(values_by_key.items()):
@@ -94,11 +94,11 @@
 def diff(
     declarations_by_key: Mapping[str, Declaration], wanted_by_key: Mapping[str, Any]
 ) -> list[Change]:
-    """The changes that lead from what is in force to what is wanted.
+    """Return the changes that lead from the declarations in force to the wanted ones.
 
     :param declarations_by_key: the declarations in force.
-    :param wanted_by_key: the values wanted; whatever is missing in them is removed.
-    :return: the changes, each with the version it is based on, by key.
+    :param wanted_by_key: the wanted values; declarations that are missing here are removed.
+    :return: the changes, sorted by key, each with the version that it is based on.
     """
     changes = []
     for key in sorted({*declarations_by_key, *wanted_by_key}):
--- a/mustardgap/job_gateways.py
+++ b/mustardgap/job_gateways.py
@@ -1,4 +1,4 @@
-"""The way of a caller's request to the owner of its queue, here or on another daemon."""
+"""Forwards callers' requests to the owner of their queue, here or on another daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,33 +19,33 @@
 from .timers import Clock
 from .workloads import JobSpec, Queue
 
-# An owner answers within a few milliseconds, or once the store has answered it.
-CALL_S = 1.5
-# An owner that is frozen or cut off answers nothing; a caller who only asks is told so soon.
-ASK_S = 0.6
-# A daemon that only has to say that it is there does so within a few milliseconds.
-REACH_S = 0.4
-# A pool's view serves one round of the fleet's owner.
-POOL_S = 0.4
-# How often an owner is looked for, and the pause before: waiting 0.3 s in all spares most callers
-# of a hand-over a refusal, after which they would come back a second later.
-TRIES = 4
-AGAIN_S = 0.1
-# A change whose outcome isn't known is put again until so long before its caller stops waiting: the
-# answer's way, some 8 ms to the farthest clients, and the time that a busy host takes for it.
-ANSWER_S = 0.15
-# What a caller's only try gets however short its time is: an owner's usual answer.
-LEAST_S = 0.05
-
-# Calls that change something.
-CHANGES = ("submit", "cancel")
-
-# Answers that say that a call had no effect.
-NOT_DONE = (status_codes.OWNER_UNAVAILABLE, status_codes.STORE_UNAVAILABLE)
-
-
-class Answered(NamedTuple):
-    """What a caller is told, and how often its call was put to an owner."""
+# The time of one try of a change. An owner replies within a few milliseconds, or once the store
+# has answered it.
+CHANGE_TIMEOUT_S = 1.5
+# The time of one try of a query. If the owner is frozen or cut off, the caller learns so soon.
+QUERY_TIMEOUT_S = 0.6
+# A live daemon answers an "alive" call within a few milliseconds.
+REACH_TIMEOUT_S = 0.4
+# Each round of the fleet's owner waits for the views of the pools.
+POOL_VIEW_TIMEOUT_S = 0.4
+# The tries of a call that finds no owner, and the pause between them. Waiting 0.3 s in all spares
+# most callers a rejection during a hand-over, after which they would retry a second later.
+MAX_TRIES = 4
+RETRY_DELAY_S = 0.1
+# Tries end this long before the caller stops waiting. It covers the answer's way, some 8 ms to the
+# farthest clients, and the time that a busy host takes to send it.
+REPLY_MARGIN_S = 0.15
+# The minimum time of a try, however little the caller has left. Owners usually answer within it.
+MIN_TRY_S = 0.05
+
+CHANGE_CALLS = ("submit", "cancel")
+
+# Codes of replies to calls that had no effect.
+NO_EFFECT_CODES = (status_codes.OWNER_UNAVAILABLE, status_codes.STORE_UNAVAILABLE)
+
+
+class CallResult(NamedTuple):
+    """The reply to a caller, and the number of tries that it took."""
 
     reply: JobReply
     tries: int
@@ -54,10 +54,10 @@
 class JobGateway:
     """Answers the callers of the job interface.
 
-    :param owners: who owns which shard.
-    :param operator: the configuration.
+    :param owners: the owners of the shards.
+    :param operator: holds the configuration.
     :param peers: calls other daemons.
-    :param shards: how many shards there are.
+    :param shards: the number of shards.
     :param clock: the clocks to read.
     :param events: the process's event log.
     :param policy: the mechanisms that are enabled.
@@ -84,7 +84,7 @@
         self._refreshed_at = float("-inf")
 
     def queue_for(self, host: str, path: str) -> Queue | JobReply:
-        """The queue that a request means, or the answer when there is none."""
+        """Return the queue that a request is for, or the reply when there is none."""
         configuration = self._operator.configuration
         if configuration is None:
             return job_replies.NO_CONFIGURATION
@@ -93,45 +93,54 @@
     async def submit(
         self, *, queue: Queue, job_id: str, spec: JobSpec, wait_s: float | None = None
     ) -> JobReply:
-        """Hand a job in.
+        """Submit a job.
 
-        :param wait_s: how long the caller waits; the queue's timeout if it doesn't say.
+        :param wait_s: seconds that the caller waits, by default the queue's timeout.
         """
         values = [job_id, queue, spec]
-        return await self._ask("submit", queue, values, CALL_S, job_id=job_id, wait_s=wait_s)
+        return await self._call(
+            "submit", queue, values, CHANGE_TIMEOUT_S, job_id=job_id, wait_s=wait_s
+        )
 
     async def cancel(self, *, queue: Queue, job_id: str, wait_s: float | None = None) -> JobReply:
         """Cancel a job.
 
-        :param wait_s: how long the caller waits; the queue's timeout if it doesn't say.
+        :param wait_s: seconds that the caller waits, by default the queue's timeout.
         """
-        return await self._ask("cancel", queue, [job_id], CALL_S, job_id=job_id, wait_s=wait_s)
+        return await self._call(
+            "cancel", queue, [job_id], CHANGE_TIMEOUT_S, job_id=job_id, wait_s=wait_s
+        )
 
     async def state(self, *, queue: Queue, job_id: str) -> JobReply:
-        """Ask for a job's state."""
-        return await self._ask("state", queue, [job_id], ASK_S, job_id=job_id)
+        """Query a job's state."""
+        return await self._call("state", queue, [job_id], QUERY_TIMEOUT_S, job_id=job_id)
 
     async def pending(self, *, queue: Queue) -> JobReply:
-        """Ask how many jobs of a queue haven't begun."""
-        return await self._ask("pending", queue, [queue.name], ASK_S, job_id="")
+        """Query how many jobs of a queue haven't started."""
+        return await self._call("pending", queue, [queue.name], QUERY_TIMEOUT_S, job_id="")
 
     async def pool(self, request: PoolRequest) -> PoolView | None:
-        """Ask the owner of a service's queues for its pool, None if it can't be reached."""
+        """Query the owner of a service's queues for its pool.
+
+        :return: the view of the pool, None if there is none or the owner can't be reached.
+        """
         shard = shard_of(request.service, self._shards)
         if shard in self._owners.owned_by_shard:
-            return self._pool(shard, request)
+            return self._local_pool_view(shard, request)
         address = self._owners.address_of(shard)
         if address is None:
             return None
         try:
-            answer = await self._peers.call(address, "pool", [shard, request], timeout_s=POOL_S)
+            answer = await self._peers.call(
+                address, "pool", [shard, request], timeout_s=POOL_VIEW_TIMEOUT_S
+            )
         except PeerUnreachable as exc:
             self._events.note("pool.unreachable", service=request.service, why=str(exc))
             await self._refresh()
             return None
         return pool_views.decode(answer) if answer is not None else None
 
-    def _pool(self, shard: int, request: PoolRequest) -> PoolView | None:
+    def _local_pool_view(self, shard: int, request: PoolRequest) -> PoolView | None:
         owned = self._owners.owned_by_shard.get(shard)
         if not isinstance(owned, Dispatcher) or owned.ended.is_set():
             return None
@@ -139,12 +148,12 @@
 
     async def _answer_pool(self, values: list[Any]) -> PoolView | None:
         shard, request = values
-        return self._pool(shard, msgspec.convert(request, PoolRequest))
+        return self._local_pool_view(shard, msgspec.convert(request, PoolRequest))
 
     async def reach(self, address: str) -> bool:
-        """Call the daemon at an address; whether it has answered."""
+        """Call the daemon at an address and return whether it answered."""
         try:
-            await self._peers.call(address, "alive", None, timeout_s=REACH_S)
+            await self._peers.call(address, "alive", None, timeout_s=REACH_TIMEOUT_S)
         except PeerUnreachable as exc:
             self._events.note("peer.unreachable", peer=address, why=str(exc))
             return False
@@ -154,7 +163,7 @@
         return True
 
     def serve(self, server: PeerServer) -> None:
-        """Answer the calls of other daemons for shards that this one owns."""
+        """Register the handlers of other daemons' calls for shards that this daemon owns."""
         for name in ("submit", "cancel", "state", "pending"):
             server.handle(name, self._handler(name))
         server.handle("pool", self._answer_pool)
@@ -163,11 +172,11 @@
     def _handler(self, name: str) -> Callable[[Any], Any]:
         async def handle(values: list[Any]) -> list[Any]:
             shard, arguments = values
-            return (await self._local(shard, name, arguments)).encode()
+            return (await self._call_local_owner(shard, name, arguments)).encode()
 
         return handle
 
-    async def _ask(
+    async def _call(
         self,
         name: str,
         queue: Queue,
@@ -179,42 +188,42 @@
     ) -> JobReply:
         shard = shard_of(queue.service, self._shards)
         began = self._clock.monotonic()
-        until = began + (queue.timeout_s if wait_s is None else wait_s) - ANSWER_S
-        answered = await self._put(shard, name, values, timeout_s, until)
+        deadline = began + (queue.timeout_s if wait_s is None else wait_s) - REPLY_MARGIN_S
+        result = await self._call_with_retries(shard, name, values, timeout_s, deadline)
         took_s = self._clock.monotonic() - began
-        metrics.job_calls.add(1, {"call": name, "code": answered.reply.code.number})
+        metrics.job_calls.add(1, {"call": name, "code": result.reply.code.number})
         metrics.job_call_duration.record(took_s, {"call": name})
-        self._note(name, queue, shard, job_id, answered, took_s)
-        return answered.reply
+        self._note(name, queue, shard, job_id, result, took_s)
+        return result.reply
 
-    async def _put(
-        self, shard: int, name: str, values: list[Any], timeout_s: float, until: float
-    ) -> Answered:
-        """Put a call to the owner, again where that may help.
+    async def _call_with_retries(
+        self, shard: int, name: str, values: list[Any], timeout_s: float, deadline: float
+    ) -> CallResult:
+        """Call the owner, and retry where that may help.
 
         :param timeout_s: seconds that one try may take.
-        :param until: the steady time at which the caller has to be told.
+        :param deadline: the monotonic time by which the caller must get its reply.
         """
-        tried = 0
+        tries = 0
         unsettled: JobReply | None = None
         while True:
-            tried += 1
-            # A try that outlasts its caller's time ends when there is nobody left to be told.
-            left_s = max(until - self._clock.monotonic(), LEAST_S)
-            reply = await self._once(shard, name, values, timeout_s, left_s)
+            tries += 1
+            # A try must not outlast its caller's time: nobody would be left to get the reply.
+            left_s = max(deadline - self._clock.monotonic(), MIN_TRY_S)
+            reply = await self._try_once(shard, name, values, timeout_s, left_s)
             if reply.code is status_codes.JOB_UNSETTLED:
                 unsettled = reply
-            if not self._tries_again(reply, tried, unsettled is not None, until):
+            if not self._must_retry(reply, tries, unsettled is not None, deadline):
                 break
-            # A shard that is handed over in good order has its new owner within a few tenths.
-            await self._clock.sleep(AGAIN_S)
-            await self._refresh_until(until)
-            if self._clock.monotonic() >= until:
+            # After a graceful hand-over, a shard has its new owner within a few tenths of a second.
+            await self._clock.sleep(RETRY_DELAY_S)
+            await self._refresh_by(deadline)
+            if self._clock.monotonic() >= deadline:
                 break
-        if unsettled is not None and reply.code in NOT_DONE:
-            # An earlier try may have done it, so that it wasn't done can't be said any more.
+        if unsettled is not None and reply.code in NO_EFFECT_CODES:
+            # An earlier try may have made the change, so the reply mustn't say that it wasn't made.
             reply = unsettled
-        return Answered(reply, tried)
+        return CallResult(reply, tries)
 
     def _note(
         self,
@@ -222,11 +231,11 @@
         queue: Queue,
         shard: int,
         job_id: str,
-        answered: Answered,
+        result: CallResult,
         took_s: float,
     ) -> None:
-        """Write a line for a change, and for whatever wasn't answered with success."""
-        reply = answered.reply
+        """Log changes, and other calls that failed unless their job is unknown."""
+        reply = result.reply
         failed = reply.code.http_status >= 400
         if failed and reply.code is not status_codes.SUBMITTED_JOB_UNKNOWN:
             self._events.note(
@@ -240,10 +249,10 @@
                 code=str(reply.code),
                 status=reply.code.http_status,
                 why=reply.detail,
-                tries=answered.tries,
+                tries=result.tries,
                 took_s=took_s,
             )
-        elif name in CHANGES:
+        elif name in CHANGE_CALLS:
             self._events.note(
                 f"{name}.answered",
                 job=job_id,
@@ -253,34 +262,34 @@
                 took_s=took_s,
             )
 
-    def _tries_again(self, reply: JobReply, tried: int, unsettled: bool, until: float) -> bool:
-        """Whether to put a call again.
+    def _must_retry(self, reply: JobReply, tries: int, unsettled: bool, deadline: float) -> bool:
+        """Whether to retry a call.
 
-        A change under a job's id may be put any number of times. Told that nobody knows what became
-        of it, its caller can neither go on nor put it again.
+        A change of a job may be sent any number of times, as the job's id makes it idempotent. A
+        caller who is told that its outcome is unknown can neither proceed nor retry.
         """
-        if self._clock.monotonic() + AGAIN_S >= until:
+        if self._clock.monotonic() + RETRY_DELAY_S >= deadline:
             return False
         repeats = self._policy.has(Mechanism.REPEATS)
-        if repeats and unsettled and reply.code in (status_codes.JOB_UNSETTLED, *NOT_DONE):
+        if repeats and unsettled and reply.code in (status_codes.JOB_UNSETTLED, *NO_EFFECT_CODES):
             return True
-        return reply.code is status_codes.OWNER_UNAVAILABLE and tried < TRIES
+        return reply.code is status_codes.OWNER_UNAVAILABLE and tries < MAX_TRIES
 
-    async def _once(
+    async def _try_once(
         self, shard: int, name: str, values: list[Any], timeout_s: float, left_s: float
     ) -> JobReply:
-        """Put a call to the owner once.
+        """Call the owner once.
 
         :param timeout_s: seconds that another daemon may take.
-        :param left_s: seconds until the caller has to be told.
+        :param left_s: seconds until the caller must get its reply.
         """
         if shard in self._owners.owned_by_shard:
             try:
                 async with asyncio.timeout(left_s):
-                    return await self._local(shard, name, msgspec.to_builtins(values))
+                    return await self._call_local_owner(shard, name, msgspec.to_builtins(values))
             except TimeoutError:
                 detail = "the owner, this daemon, took too long"
-                return job_replies.unanswered(detail, is_change=name in CHANGES)
+                return job_replies.unanswered(detail, is_change=name in CHANGE_CALLS)
         address = self._owners.address_of(shard)
         if address is None:
             return job_replies.not_owner("nobody owns the queue yet")
@@ -290,35 +299,35 @@
             )
         except PeerUnreachable as exc:
             if exc.sent:
-                return job_replies.unanswered(str(exc), is_change=name in CHANGES)
+                return job_replies.unanswered(str(exc), is_change=name in CHANGE_CALLS)
             return job_replies.not_owner(str(exc))
         return job_replies.decode(answer)
 
-    async def _local(self, shard: int, name: str, values: list[Any]) -> JobReply:
+    async def _call_local_owner(self, shard: int, name: str, values: list[Any]) -> JobReply:
         owned = self._owners.owned_by_shard.get(shard)
         if not isinstance(owned, Dispatcher) or owned.ended.is_set():
             return job_replies.not_owner("this daemon doesn't own the queue")
         if name == "submit":
             job_id, queue, spec = values
-            return await owned.desk.submit(
+            return await owned.job_request_handler.submit(
                 job_id=job_id,
                 queue=msgspec.convert(queue, Queue),
                 spec=msgspec.convert(spec, JobSpec),
             )
         if name == "cancel":
-            return await owned.desk.cancel(values[0])
+            return await owned.job_request_handler.cancel(values[0])
         if name == "state":
-            return await owned.desk.state(values[0])
-        return owned.desk.pending(values[0])
+            return await owned.job_request_handler.state(values[0])
+        return owned.job_request_handler.pending(values[0])
 
-    async def _refresh_until(self, until: float) -> None:
-        """Look for the owner anew; a store that is slow to tell costs no caller its answer."""
+    async def _refresh_by(self, deadline: float) -> None:
+        """Read the owners again; a slow store mustn't cost the caller its reply."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(until - self._clock.monotonic()):
+            async with asyncio.timeout(deadline - self._clock.monotonic()):
                 await self._refresh()
 
     async def _refresh(self) -> None:
-        # Many requests may find an owner gone at once; one reading serves all of them.
+        # Many requests may find an owner gone at the same time; one read serves all of them.
         now = self._clock.monotonic()
         if now - self._refreshed_at > 0.2:
             self._refreshed_at = now
