--- a/features/actors.feature
+++ b/features/actors.feature
@@ -1,18 +1,18 @@
 Feature: Actors carry decisions out on the platform
   What the log says of hosts takes effect on the platform once, whatever goes wrong on the way.
 
-  Scenario Outline: The trouble "<trouble>" while a host is maintained
+  Scenario Outline: A host is maintained with the fault "<fault>"
     The caller of a request sees nothing of it; the operator sees the wave end. An answer is lost,
     an actor dies, wakes from a freeze, or a second one acts at the same time, between two steps of
     the same host. It holds because each step is decided anew from the log and the view, its
     operation has one id for all daemons, and an older epoch is turned down.
 
     Given actors of two daemons on a fake platform
-    When actors maintain r1-w1 under the trouble "<trouble>"
+    When actors maintain r1-w1 with the fault "<fault>"
     Then actors have rebooted r1-w1 once, empty, and it is in service again
 
     Examples:
-      | trouble                              |
+      | fault                                |
       | none                                 |
       | answers lost after their effect      |
       | calls that take effect later         |
@@ -29,14 +29,14 @@
       | power lost while rebooting           |
       | owner sees no change of the platform |
 
-  Scenario: A step under which something is cancelled is taken again, and a line tells of it
+  Scenario: A step is retried and logged when something that it awaited is cancelled
     The operator sees a host's maintenance take longer, and wants to know why. What a step awaited was
     closed by another part; the step is decided anew, but nothing told that it had ended.
 
     Given actors of two daemons on a fake platform
-    When actors maintain r1-w1 and what one step of each daemon awaits is cancelled
+    When actors maintain r1-w1 and an await of one step of each daemon is cancelled
     Then actors have rebooted r1-w1 once, empty, and it is in service again
-    And actors have left a line for each step that was cancelled
+    And actors have logged each step that was cancelled
 
   Scenario: An undrain of an earlier epoch arrives when the host is being rebooted
     The request that runs on the host would be cut off. A drain is taken back and wanted again, and
@@ -47,13 +47,13 @@
     When actors drain r1-w1, undrain it with a late call, and maintain it
     Then actors have rebooted r1-w1 once, empty, and it is in service again
 
-  Scenario Outline: A daemon that can't know what is decided begins nothing: <cause>
+  Scenario Outline: A daemon with outdated views starts no step: <cause>
     A step that others have undone long ago would be taken. The daemon is cut off or wakes up while
     its views are old. It waits until both were read again.
 
     Given actors of two daemons on a fake platform
-    When actors of a daemon alone find a host to drain after "<cause>"
-    Then actors of that daemon have called nothing until both views are fresh
+    When actors of a single daemon have a host to drain after "<cause>"
+    Then actors of that daemon have made no calls until both views are fresh
 
     Examples:
       | cause            |
@@ -65,7 +65,7 @@
     comes back. Its step is given up after a bounded time, with a numbered code.
 
     Given actors of two daemons on a fake platform
-    When actors meet a worker that <what>
+    When actors handle a worker that <what>
     Then actors report <code> for it and it ends in phase <phase>
 
     Examples:
@@ -73,13 +73,13 @@
       | never drains  | 4012 | in_service |
       | never returns | 4013 | set_aside  |
 
-  Scenario Outline: A worker goes down as it is <phase>, and comes back
+  Scenario Outline: A worker goes down while it is <phase>, and comes back
     The budget must count it out at once and in again later, in the same pool. What an operator
     wanted out stays out.
 
     Given actors of two daemons on a fake platform
-    When actors see r1-w1 go down and come back as it is <phase>
-    Then actors have it failed in between and <after> in pool batch at last
+    When actors see r1-w1 go down and come back while it is <phase>
+    Then actors have marked it failed in between and <after> in pool batch at the end
 
     Examples:
       | phase      | after      |
@@ -100,15 +100,15 @@
     isn't told leaves it where it is until the platform takes it away.
 
     Given actors of two daemons on a fake platform
-    When actors hear that r0-w0 is leaving while its service has no margin
+    When actors are told that r0-w0 is leaving while its service has no margin
     Then actors have brought its replacement into service before they emptied it
 
   Scenario: The host list of the platform stand-in shows r1-w1 as leaving
     Given actors in two daemon processes on the platform stand-in
-    When actors processes read on the host list that r1-w1 is leaving
-    Then actors processes have emptied it alone
+    When actor processes read on the host list that r1-w1 is leaving
+    Then actor processes have emptied it alone
 
-  Scenario: A host comes back from its reboot and finds its place filled
+  Scenario: A host returns from its reboot after its place in the pool was filled
     A sound host would be given up as one that never returned. Its service has got all the hosts
     that it may hold while it was away, so the fold turns its way back into service down, each time.
     It becomes a free host: drained in the same pool, of no wave, for the planner to use elsewhere.
@@ -123,7 +123,7 @@
 
     Given actors of two daemons on a fake platform
     When actors see a new worker that is <state> in pool "<pool>"
-    Then actors have given it to the service when that lacks a host
+    Then actors have assigned it to the service when the service lacks a host
 
     Examples:
       | state   | pool  |
@@ -133,13 +133,13 @@
 
   Scenario: Random faults against two daemons
     Given actors of two daemons as a state machine
-    Then actors never run, reboot or cut anything twice over its fixed seeds
+    Then actors never run or reboot anything twice or cut it off with its fixed seeds
 
-  Scenario: Separate processes, faults of the real kind
+  Scenario: Separate processes with real faults
     Two daemons maintain a rack while answers of operations are lost or doubled, one daemon is
     frozen (SIGSTOP), later killed (SIGKILL) and started again. The platform's record shows each
     reboot once, and nothing cut off.
 
     Given actors in two daemon processes on the platform stand-in
-    When actors processes maintain a rack with lost answers, a freeze and a kill
-    Then actors processes have rebooted each host once, empty, and the wave has ended
+    When actor processes maintain a rack with lost answers, a freeze and a kill
+    Then actor processes have rebooted each host once, empty, and the wave has ended
--- a/features/steps/actors_hosts_steps.py
+++ b/features/steps/actors_hosts_steps.py
@@ -7,7 +7,7 @@
 from features.support.actor_steps import call, until, write_host
 
 LEAVING = "r0-w0"
-AWAY = "r1-w0"
+MAINTAINED = "r1-w0"
 NEW = "r9-w9"
 
 
@@ -17,7 +17,7 @@
     return [r["body"] for r in records if r["kind"] == "host"]
 
 
-@when("actors hear that r0-w0 is leaving while its service has no margin")
+@when("actors are told that r0-w0 is leaving while its service has no margin")
 def step_leaving(context):
     world = context.world
 
@@ -45,10 +45,12 @@
     world = context.world
 
     async def run():
-        world.journal.write("wave", {"wave": "w", "base": 0, "step": "start", "hosts": [AWAY]})
-        await until(world, lambda: world.platform.workers_by_id[AWAY]["state"] == "drained")
-        world.platform.stuck.add(AWAY)
-        await until(world, lambda: world.host(AWAY)["phase"] == "rebooting")
+        world.journal.write(
+            "wave", {"wave": "w", "base": 0, "step": "start", "hosts": [MAINTAINED]}
+        )
+        await until(world, lambda: world.platform.workers_by_id[MAINTAINED]["state"] == "drained")
+        world.platform.stuck.add(MAINTAINED)
+        await until(world, lambda: world.host(MAINTAINED)["phase"] == "rebooting")
         for name in ("r0-w3", "r1-w3"):
             write_host(world, "in_service", name, pool="a")
         world.platform.stuck.clear()
@@ -60,9 +62,11 @@
 @then("actors have kept r1-w0 as a free host and the wave has ended")
 def step_free(context):
     world = context.world
-    host = world.host(AWAY)
+    host = world.host(MAINTAINED)
     assert (host["phase"], host["pool"], host["wave"]) == ("in_service", "", ""), host
-    freed = [r for r in host_records(world) if r["host"] == AWAY and r["phase"] == "drained"][-1]
+    freed = [r for r in host_records(world) if r["host"] == MAINTAINED and r["phase"] == "drained"][
+        -1
+    ]
     assert freed["reason"].startswith("plan: "), freed
     assert world.journal.state.waves_by_name["w"]["phase"] == "finished"
     assert set(world.platform.reboots.values()) == {1}, world.platform.reboots
@@ -86,14 +90,14 @@
     asyncio.run(run())
 
 
-@then("actors have given it to the service when that lacks a host")
+@then("actors have assigned it to the service when the service lacks a host")
 def step_used(context):
     host, worker = context.world.host(NEW), context.world.platform.workers_by_id[NEW]
     assert (host["phase"], host["pool"]) == ("in_service", "a"), host
     assert (worker["state"], worker["pool"]) == ("up", "a"), worker
 
 
-@when("actors processes read on the host list that r1-w1 is leaving")
+@when("actor processes read on the host list that r1-w1 is leaving")
 def step_processes_leaving(context):
     context.cluster.platform.fault("host_leaving", on="r1-w1")
 
@@ -103,7 +107,7 @@
     context.cluster.wait("the leaving host to be emptied", is_emptied, timeout_s=60)
 
 
-@then("actors processes have emptied it alone")
+@then("actor processes have emptied it alone")
 def step_processes_emptied(context):
     truth = context.cluster.platform.truth()
     drained = {o["worker"] for o in truth["operations"].values() if o["kind"] == "drain"}
--- a/features/steps/actors_steps.py
+++ b/features/steps/actors_steps.py
@@ -41,7 +41,7 @@
     return worker["boot"] > 1 and worker["state"] == "up" and phase(world) == "in_service"
 
 
-async def trouble_owner(world, what, when_phase):
+async def inject_owner_fault(world, what, when_phase):
     """Kill or freeze the owner, or take the log or the power away, in a phase."""
     await until(world, lambda: phase(world) == when_phase)
     if what == "owner killed":
@@ -75,8 +75,8 @@
     world.journal.write("wave", body)
 
 
-@when('actors maintain r1-w1 under the trouble "{trouble}"')
-def step_maintain(context, trouble):
+@when('actors maintain r1-w1 with the fault "{fault}"')
+def step_maintain(context, fault):
     world = context.world
     daemons = world.daemons_by_name.values()
 
@@ -85,17 +85,17 @@
         await world.pass_time(12)
         start_wave(world)
         for daemon in daemons:
-            if trouble == "answers lost after their effect":
+            if fault == "answers lost after their effect":
                 daemon.link.lose = 6
-            elif trouble == "calls that take effect later":
+            elif fault == "calls that take effect later":
                 daemon.link.delay = 4
-            elif trouble == "both daemons act at once":
+            elif fault == "both daemons act at once":
                 daemon.ranked_names = [daemon.name]
-        if trouble == "owner sees no change of the platform":
+        if fault == "owner sees no change of the platform":
             owner(world).workers.poll = lambda: asyncio.sleep(0)
-        what, _, when_phase = trouble.partition(" while ")
+        what, _, when_phase = fault.partition(" while ")
         if when_phase:
-            await trouble_owner(world, what, when_phase)
+            await inject_owner_fault(world, what, when_phase)
         for _ in range(40):
             await world.pass_time(4)
             for daemon in world.daemons_by_name.values():
@@ -106,7 +106,7 @@
     asyncio.run(run())
 
 
-@when("actors maintain r1-w1 and what one step of each daemon awaits is cancelled")
+@when("actors maintain r1-w1 and an await of one step of each daemon is cancelled")
 def step_cancelled(context):
     world = context.world
 
@@ -122,7 +122,7 @@
     context.cancelled = sum(d.log.link.count for d in world.daemons_by_name.values())
 
 
-@then("actors have left a line for each step that was cancelled")
+@then("actors have logged each step that was cancelled")
 def step_lines(context):
     assert context.cancelled, "nothing was cancelled"
     assert len(context.lines) == context.cancelled, (context.lines, context.cancelled)
@@ -166,7 +166,7 @@
     assert not world.platform.broken, world.platform.broken
 
 
-@when('actors of a daemon alone find a host to drain after "{cause}"')
+@when('actors of a single daemon have a host to drain after "{cause}"')
 def step_stale(context, cause):
     world = context.world
     name, gone = world.daemons_by_name
@@ -193,13 +193,13 @@
     asyncio.run(run())
 
 
-@then("actors of that daemon have called nothing until both views are fresh")
+@then("actors of that daemon have made no calls until both views are fresh")
 def step_called_nothing(context):
     assert context.early == 0, context.calls
     assert context.calls, "nothing was called afterwards"
 
 
-@when("actors meet a worker that {what}")
+@when("actors handle a worker that {what}")
 def step_stuck(context, what):
     world = context.world
 
@@ -227,7 +227,7 @@
     assert any(f"MG{code}" in e.cause for e in events), events
 
 
-@when("actors see r1-w1 go down and come back as it is {when_phase}")
+@when("actors see r1-w1 go down and come back while it is {when_phase}")
 def step_down(context, when_phase):
     world = context.world
 
@@ -245,7 +245,7 @@
     asyncio.run(run())
 
 
-@then("actors have it failed in between and {after} in pool batch at last")
+@then("actors have marked it failed in between and {after} in pool batch at the end")
 def step_came_back(context, after):
     host = context.world.host(HOST)
     assert (host["phase"], host["pool"]) == (after, "batch"), host
@@ -301,7 +301,7 @@
     context.machine = ActorMachine
 
 
-@then("actors never run, reboot or cut anything twice over its fixed seeds")
+@then("actors never run or reboot anything twice or cut it off with its fixed seeds")
 def step_run_machine(context):
     run_state_machine_as_test(context.machine, settings=SETTINGS)
 
@@ -326,7 +326,7 @@
     context.cluster.wait("hosts", lambda: len(call(context, "GET", "/v1/hosts")["items"]) == 8)
 
 
-@when("actors processes maintain a rack with lost answers, a freeze and a kill")
+@when("actor processes maintain a rack with lost answers, a freeze and a kill")
 def step_processes_maintain(context):
     cluster, processes = context.cluster, context.processes
     cluster.platform.fault("lost", on="/workers/*/operations", count=3)
@@ -354,7 +354,7 @@
     context.hosts = hosts()
 
 
-@then("actors processes have rebooted each host once, empty, and the wave has ended")
+@then("actor processes have rebooted each host once, empty, and the wave has ended")
 def step_processes_rebooted(context):
     truth = context.cluster.platform.truth()
     reboots = [o for o in truth["operations"].values() if o["kind"] == "reboot"]
--- a/features/steps/bounds_steps.py
+++ b/features/steps/bounds_steps.py
@@ -3,7 +3,7 @@
 from behave import then, when
 
 from mustardgap.day_outcomes import job_outcomes, uses_by_pool, worst_windows
-from mustardgap.job_stories import Line
+from mustardgap.job_histories import Line
 from mustardgap.pool_demands import Forecast
 from mustardgap.pool_uses import PoolTally, split_use
 from mustardgap.pool_views import ExecutorView, PoolView
--- a/features/steps/gateways_steps.py
+++ b/features/steps/gateways_steps.py
@@ -52,9 +52,9 @@
             await self._clock.sleep(UNKNOWN_S)
             return job_replies.UNSETTLED.encode()
         if answer == "nobody":
-            return job_replies.not_owner("not any more").encode()
+            return job_replies.owner_unavailable("not any more").encode()
         if answer == "away":
-            return job_replies.store_away("away").encode()
+            return job_replies.store_unavailable("away").encode()
         return job_replies.ACCEPTED.encode()
 
 
--- a/features/support/actor_machine.py
+++ b/features/support/actor_machine.py
@@ -19,9 +19,9 @@
 )
 NAMES = [name for name, _, _ in WORKERS]
 DAEMONS = ["d1", "d2"]
-HEALED_S = 200
-LATE_S = 5.0
-MAX_OPEN = 12
+RECOVERY_S = 200
+MAX_DELAY_S = 5.0
+MAX_OPEN_JOBS = 12
 
 
 class ActorMachine(RuleBasedStateMachine):
@@ -65,7 +65,7 @@
         open_jobs = [
             j for j in self.world.journal.state.jobs_by_id.values() if j["phase"] != "ended"
         ]
-        for _ in range(min(count, MAX_OPEN - len(open_jobs))):
+        for _ in range(min(count, MAX_OPEN_JOBS - len(open_jobs))):
             self.jobs += 1
             self.world.submit(f"j{self.jobs}", payload={"fails": fails}, **spec)
 
@@ -126,7 +126,7 @@
                 self.late_since.pop(name, None)
             elif (
                 self.world.clock.now - self.late_since.setdefault(name, self.world.clock.now)
-                > LATE_S
+                > MAX_DELAY_S
             ):
                 self.deliver(name)
 
@@ -158,7 +158,7 @@
         """Nothing ran twice, overlapped, or was cut off by a reboot of ours."""
         assert not self.world.platform.broken, self.world.platform.broken
 
-    def heal(self):
+    def end_faults(self):
         """End all trouble."""
         self.world.journal.is_down = self.world.platform.is_down = False
         for fault in ("paused", "failing", "stuck"):
@@ -173,12 +173,12 @@
 
     def teardown(self):
         """When all is well again, every job ends and every host is where the log says."""
-        self.heal()
+        self.end_faults()
         for name in NAMES:
             host = self.world.journal.state.hosts_by_name.get(name)
             if host is not None and host["phase"] in ("draining", "drained", "set_aside"):
                 self._write_host(name, "in_service")
-        for _ in range(HEALED_S // 10):
+        for _ in range(RECOVERY_S // 10):
             self.run(self.world.pass_time(10, step=1.0))
             if not self.unfinished():
                 break
--- a/features/support/actor_steps.py
+++ b/features/support/actor_steps.py
@@ -12,20 +12,20 @@
     return world.daemons_by_name[daemon.ranked(key)[0]]
 
 
-async def until(world, met, limit_s=150):
+async def until(world, condition, limit_s=150):
     """Let time pass until something holds."""
     for _ in range(limit_s * 2):
-        if met():
+        if condition():
             return
         await world.pass_time(0.5)
     raise AssertionError("not in time")
 
 
-def write_host(world, to, name=HOST, pool=None, reason="operator"):
+def write_host(world, phase, name=HOST, pool=None, reason="operator"):
     """Write a step of a host as an operator does."""
     host = world.host(name)
     pool = host["pool"] if pool is None else pool
-    body = {"host": name, "base": host["epoch"], "phase": to, "pool": pool, "reason": reason}
+    body = {"host": name, "base": host["epoch"], "phase": phase, "pool": pool, "reason": reason}
     return world.journal.write("host", body)
 
 
--- a/mustardgap/actors.py
+++ b/mustardgap/actors.py
@@ -72,14 +72,14 @@
         self.planner = PlanActor(operations=operations, duties=duties)
         self.placer = Placer(operations=operations, duties=duties)
         self.jobs = JobActor(operations=operations, duties=duties, placer=self.placer)
-        self._under_way: dict[str, asyncio.Task[None]] = {}
+        self._tasks_by_key: dict[str, asyncio.Task[None]] = {}
         self._is_stopping = False
-        self._slots = asyncio.Semaphore(MAX_ACTIONS)
-        log.on_fold(self._folded)
+        self._semaphore = asyncio.Semaphore(MAX_ACTIONS)
+        log.on_fold(self._on_record)
         log.on_restore(self._restart)
-        workers.on_change(self._changed)
-        workers.on_tasks(self._tasks_changed)
-        timers.on_gap(self._drop)
+        workers.on_change(self._on_hosts_changed)
+        workers.on_tasks(self._on_tasks_changed)
+        timers.on_gap(self._cancel_all)
 
     async def run(self) -> None:
         """Act until cancelled."""
@@ -89,7 +89,7 @@
             await asyncio.Event().wait()
         finally:
             unsubscribe()
-            self._drop()
+            self._cancel_all()
 
     def act(self) -> None:
         """Begin the steps that are due and not under way; none on views that are too old."""
@@ -104,9 +104,9 @@
             "placer": self.placer,
         }
         for key, part in parts.items():
-            self._guarded(key, partial(self._begin_due, key, part))
+            self._call_logged(key, partial(self._begin_due, key, part))
         for kind, actor in (("host", self.hosts), ("job", self.jobs)):
-            self._guarded(kind, partial(self._begin_each, kind, actor))
+            self._call_logged(kind, partial(self._begin_each, kind, actor))
 
     def leaving_workers(self, workers: Collection[str]) -> None:
         """Have these workers replaced and emptied: the platform's list shows them as leaving."""
@@ -115,17 +115,17 @@
     @property
     def is_busy(self) -> bool:
         """Whether steps are under way."""
-        return bool(self._under_way)
+        return bool(self._tasks_by_key)
 
     def close(self) -> None:
         """Give up the steps under way, as when the process ends."""
-        self._drop()
+        self._cancel_all()
 
     async def settle(self) -> None:
         """Begin nothing more and wait for the steps under way, as before a planned stop."""
         self._is_stopping = True
-        if self._under_way:
-            await asyncio.wait(list(self._under_way.values()), timeout=ACTION_TIMEOUT_S)
+        if self._tasks_by_key:
+            await asyncio.wait(list(self._tasks_by_key.values()), timeout=ACTION_TIMEOUT_S)
 
     def look_at_all(self) -> None:
         """Look at everything anew."""
@@ -140,7 +140,7 @@
         self.look_at_all()
 
     def _begin_due(self, key: str, part: Any) -> None:
-        if key in self._under_way:
+        if key in self._tasks_by_key:
             return
         decided = part.due()
         if decided:
@@ -150,7 +150,7 @@
         for name, step in actor.due():
             self._begin(f"{kind}/{name}", partial(actor.act, name, step))  # type: ignore[arg-type]
 
-    def _guarded(self, key: str, function: Callable[[], None]) -> None:
+    def _call_logged(self, key: str, function: Callable[[], None]) -> None:
         """Call a function; a fault in one part must not keep the others from acting."""
         try:
             function()
@@ -159,39 +159,39 @@
             logging.exception("deciding on %s failed", key)
 
     def _begin(self, key: str, action: Callable[[], Awaitable[None]]) -> None:
-        if key not in self._under_way:
+        if key not in self._tasks_by_key:
             task = asyncio.create_task(self._run(key, action), name=f"act:{key}")
-            self._under_way[key] = task
+            self._tasks_by_key[key] = task
 
     async def _run(self, key: str, action: Callable[[], Awaitable[None]]) -> None:
         try:
-            async with self._slots:
+            async with self._semaphore:
                 await cancellations.run_part(action)
         except Exception:
             logging.exception("step of %s failed", key)
         finally:
-            if self._under_way.get(key) is asyncio.current_task():
-                del self._under_way[key]
+            if self._tasks_by_key.get(key) is asyncio.current_task():
+                del self._tasks_by_key[key]
 
-    def _drop(self, lost_s: float = 0.0) -> None:
+    def _cancel_all(self, lost_s: float = 0.0) -> None:
         """Drop all that is under way and look at everything anew.
 
         After a freeze the others have gone on: what this daemon was about to do may have been done
         and undone since. Cancelling stops the steps that wait, and the tickets stop those that
         run on before the cancellation reaches them.
         """
-        for task in self._under_way.values():
+        for task in self._tasks_by_key.values():
             task.cancel()
-        self._under_way.clear()
+        self._tasks_by_key.clear()
         self.duties.clear()
         self.look_at_all()
 
-    def _folded(self, record: LogRecord, verdict: Verdict) -> None:
+    def _on_record(self, record: LogRecord, verdict: Verdict) -> None:
         if not isinstance(verdict, Accepted):
             return
         kind, body = record.value["kind"], record.value["body"]
         if kind == "host":
-            self._changed({body["host"]})
+            self._on_hosts_changed({body["host"]})
         elif kind == "job":
             self.placer.follow_jobs({body["job"]})
             self.jobs.follow({body["job"]})
@@ -199,13 +199,13 @@
         elif kind == "config":
             self.placer.follow_hosts(set(self.log.state.hosts_by_name))
 
-    def _tasks_changed(self, tasks: list[TaskInfo]) -> None:
+    def _on_tasks_changed(self, tasks: list[TaskInfo]) -> None:
         self.jobs.follow_tasks(tasks)
         self.jobs.look_at({task["job"] for task in tasks})
         for task in tasks:
             self.placer.learn(task)
 
-    def _changed(self, hosts: set[str]) -> None:
+    def _on_hosts_changed(self, hosts: set[str]) -> None:
         self.hosts.look_at(hosts)
         self.registrar.look_at(hosts)
         self.placer.follow_hosts(hosts)
--- a/mustardgap/adapters.py
+++ b/mustardgap/adapters.py
@@ -210,19 +210,19 @@
         except (ConnectionRefusedError, socket.gaierror) as exc:
             raise PlatformError(detail=str(exc), place=path) from None
         except HTTPTimeoutError as exc:
-            raise _timed_out(method, path, str(exc)) from None
+            raise _timeout_error(method, path, str(exc)) from None
         except (OSError, HTTPClientError) as exc:
-            raise _lost(method, path, str(exc)) from None
+            raise _unanswered_error(method, path, str(exc)) from None
         return _decode(method, path, resp)
 
 
 def _decode(method: str, path: str, resp: HTTPResponse) -> Any:
     if resp.code == 599:
-        raise _lost(method, path, str(resp.error))
+        raise _unanswered_error(method, path, str(resp.error))
     try:
         value = msgspec.json.decode(resp.body) if resp.body else {}
     except msgspec.DecodeError:
-        raise _lost(method, path, "the answer is not JSON") from None
+        raise _unanswered_error(method, path, "the answer is not JSON") from None
     if resp.code < 300:
         return value
     detail = str(value.get("error", resp.reason))
@@ -236,17 +236,17 @@
         raise PlatformError(code=status_codes.PLATFORM_REFUSED, detail=detail, place=path)
     if resp.code == 503:
         raise PlatformError(detail=detail, place=path)
-    raise _lost(method, path, f"{resp.code} {detail}")
+    raise _unanswered_error(method, path, f"{resp.code} {detail}")
 
 
-def _timed_out(method: str, path: str, detail: str) -> PlatformError | AnswerLost:
+def _timeout_error(method: str, path: str, detail: str) -> PlatformError | AnswerLost:
     # Tornado tells a time-out while connecting, when nothing was sent, only by its text.
     if "connecting" in detail or "queue" in detail:
         return PlatformError(detail=detail, place=path)
-    return _lost(method, path, detail)
+    return _unanswered_error(method, path, detail)
 
 
-def _lost(method: str, path: str, detail: str) -> PlatformError | AnswerLost:
+def _unanswered_error(method: str, path: str, detail: str) -> PlatformError | AnswerLost:
     if method == "GET":
         return PlatformError(detail=detail, place=path)
     return AnswerLost(detail=detail, place=path)
--- a/mustardgap/commands_views.py
+++ b/mustardgap/commands_views.py
@@ -9,7 +9,7 @@
 
 import click
 
-from . import day_reports, job_stories, status_codes, timeline_pages
+from . import day_reports, job_histories, status_codes, timeline_pages
 from .clients import Client
 from .command_options import cli, emit, options, run
 from .exceptions import MustardgapError
@@ -178,7 +178,7 @@
     if kind == "code":
         answer = explain_code(name)
     elif kind == "job" and logs:
-        answer = {"lines": job_stories.story(job_stories.read(logs), name)}
+        answer = {"lines": job_histories.history(job_histories.read(logs), name)}
     else:
         answer = run(lambda client: _explain(client, kind, name))
     emit(answer, lambda: print_lines(answer["lines"]))
@@ -204,7 +204,7 @@
     \b
     Example: mustardgap report --logs e1.log --logs e2.log --out day.html
     """
-    lines = job_stories.read(logs)
+    lines = job_histories.read(logs)
     if not lines:
         raise click.UsageError("the logs hold no structured lines")
     summary = day_reports.make(lines)
--- a/mustardgap/day_outcomes.py
+++ b/mustardgap/day_outcomes.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from .job_stories import Line
+from .job_histories import Line
 from .pool_uses import PoolUse
 
 # Jobs are counted by windows of this length, according to when they were submitted.
--- a/mustardgap/day_reports.py
+++ b/mustardgap/day_reports.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from .day_outcomes import IN_TIME, WINDOW_S, Window, uses_by_pool, worst_windows
-from .job_stories import Line
+from .job_histories import Line
 from .pool_uses import PoolUse
 
 # Lines are counted in steps of this many seconds.
--- a/mustardgap/job_actors.py
+++ b/mustardgap/job_actors.py
@@ -28,9 +28,9 @@
 from .outcomes import Accepted
 from .placers import Placer
 
-RENEW_SHARE = 1 / 3
-RENEW_BATCH = 500
-REFUSED = frozenset({status_codes.PLATFORM_REFUSED, status_codes.NOT_FOUND})
+RENEW_INTERVAL_FRACTION = 1 / 3
+RENEW_BATCH_SIZE = 500
+REFUSAL_CODES = frozenset({status_codes.PLATFORM_REFUSED, status_codes.NOT_FOUND})
 
 
 class JobActor:
@@ -47,8 +47,8 @@
         self.placer = placer
         self.platform: Any = operations.platform
         self.leases = Leases()
-        self._look_at: set[str] = set()
-        self._epoch_seen: dict[str, tuple[int, float]] = {}
+        self._jobs_to_check: set[str] = set()
+        self._first_seen_by_job: dict[str, tuple[int, float]] = {}
         self._renewed_at = float("-inf")
 
     @property
@@ -81,32 +81,32 @@
 
     def look_at(self, jobs: set[str]) -> None:
         """Look at these jobs again, as something has changed there."""
-        self._look_at |= jobs
+        self._jobs_to_check |= jobs
 
     def look_at_hosts(self, hosts: set[str]) -> None:
         """Look at all jobs on these hosts again."""
         for host in hosts:
-            self._look_at |= self.placer.rooms.jobs_on(host)
+            self._jobs_to_check |= self.placer.rooms.jobs_on(host)
 
     def look_at_all(self) -> None:
         """Look at all jobs that hold room."""
-        self._look_at |= self.placer.rooms.jobs()
+        self._jobs_to_check |= self.placer.rooms.jobs()
 
     def due(self) -> list[tuple[str, JobStep]]:
         """The steps that this daemon should take now, by job."""
-        found = []
-        for name in sorted(self._look_at):
+        due_steps = []
+        for name in sorted(self._jobs_to_check):
             job = self.state.jobs_by_id.get(name)
             step = None if job is None else self._wanted(job)
             if job is None or (attempt_of(job) is None and step is None):
-                self._settle(name)
+                self._forget_job(name)
                 continue
             if step is not None and self.duties.is_due(f"job/{name}", (job["epoch"], step)):
-                found.append((name, step))
+                due_steps.append((name, step))
             if step is None and job["phase"] == "running" and not job["cancelled"]:
-                self._look_at.discard(name)
+                self._jobs_to_check.discard(name)
                 self.duties.drop(f"job/{name}")
-        return found
+        return due_steps
 
     async def act(self, name: str, step: JobStep) -> None:
         """Take one step of a job."""
@@ -131,7 +131,7 @@
         """The leases that this daemon should renew now, in batches: the job's epoch by task."""
         now = self.operations.timers.clock.monotonic()
         lease_s = self.operations.settings.capacity.lease_s
-        if now - self._renewed_at < lease_s * RENEW_SHARE:
+        if now - self._renewed_at < lease_s * RENEW_INTERVAL_FRACTION:
             return []
         self._renewed_at = now
         epochs_by_task = {}
@@ -140,23 +140,28 @@
             view = self._view(job)
             if view.task is None or not keeps_lease(view) or view.now > view.task["lease_until"]:
                 # Looked at from time to time, as a lease that runs out changes nothing polled.
-                self._look_at.add(name)
-            elif self._renews(job, view.task):
+                self._jobs_to_check.add(name)
+            elif self._should_renew(job, view.task):
                 epochs_by_task[view.task["task"]] = job["epoch"]
         items = list(epochs_by_task.items())
-        return [dict(items[i : i + RENEW_BATCH]) for i in range(0, len(items), RENEW_BATCH)]
+        return [
+            dict(items[i : i + RENEW_BATCH_SIZE]) for i in range(0, len(items), RENEW_BATCH_SIZE)
+        ]
 
     def _lease_candidates(self) -> set[str]:
         """The jobs of this daemon's keys, and those whose owner may be late."""
         settings = self.operations.settings.capacity
-        late_s = max(settings.lease_s * (1 - RENEW_SHARE) - settings.takeover_s, self._least_s())
-        names = self.leases.jobs_ending_by(self.operations.timers.clock.wall() + late_s)
+        limit_s = max(
+            settings.lease_s * (1 - RENEW_INTERVAL_FRACTION) - settings.takeover_s,
+            self._renew_by_all_s(),
+        )
+        names = self.leases.jobs_ending_by(self.operations.timers.clock.wall() + limit_s)
         for key in range(LEASE_KEY_COUNT):
             if self.duties.rank(f"lease/{key}") == 0:
                 names |= self.leases.jobs_of_key(key)
         return names
 
-    def _least_s(self) -> float:
+    def _renew_by_all_s(self) -> float:
         """With no more than this left of a lease every daemon renews it, whoever owns it."""
         return self.operations.settings.capacity.lease_s / 4
 
@@ -207,7 +212,7 @@
                 attempt=attempt["number"],
                 epoch=attempt["epoch"],
                 lease_s=self.operations.settings.capacity.lease_s,
-                spec=_given_spec(job),
+                spec=_allocated_spec(job),
             )
         except AnswerLost as exc:
             # It may run. It is started again under the same id, which is the way to find out.
@@ -216,7 +221,7 @@
             return
         except PlatformError as exc:
             count("start", exc.code.name)
-            if exc.code in REFUSED and self._placed_here(job):
+            if exc.code in REFUSAL_CODES and self._placed_here(job):
                 await self._take(Write("attempt_over", "moved"), job, ticket)
             return
         except MustardgapError as exc:
@@ -262,26 +267,28 @@
 
     def _in_epoch_s(self, job: JobState) -> float:
         now = self.operations.timers.clock.monotonic()
-        seen = self._epoch_seen.get(job["job"])
+        seen = self._first_seen_by_job.get(job["job"])
         if seen is None or seen[0] != job["epoch"]:
-            seen = self._epoch_seen[job["job"]] = (job["epoch"], now)
+            seen = self._first_seen_by_job[job["job"]] = (job["epoch"], now)
         return now - seen[1]
 
-    def _renews(self, job: JobState, task: TaskInfo) -> bool:
+    def _should_renew(self, job: JobState, task: TaskInfo) -> bool:
         """The owner always renews; the next ones do when the lease has come closer to its end."""
         rank = self.duties.rank(f"lease/{lease_key_of(job['job'])}")
         if rank is None:
             return False
         settings = self.operations.settings.capacity
         left_s = task["lease_until"] - self.operations.timers.clock.wall()
-        late_s = rank * settings.takeover_s
-        limit_s = max(settings.lease_s * (1 - RENEW_SHARE) - late_s, self._least_s())
+        delay_s = rank * settings.takeover_s
+        limit_s = max(
+            settings.lease_s * (1 - RENEW_INTERVAL_FRACTION) - delay_s, self._renew_by_all_s()
+        )
         return rank == 0 or left_s < limit_s
 
-    def _settle(self, name: str) -> None:
-        self._look_at.discard(name)
+    def _forget_job(self, name: str) -> None:
+        self._jobs_to_check.discard(name)
         self.duties.drop(f"job/{name}")
-        self._epoch_seen.pop(name, None)
+        self._first_seen_by_job.pop(name, None)
         self.placer.placed_here.pop(name, None)
 
 
@@ -289,7 +296,7 @@
     return task["lease_until"] if task["state"] in LIVE_STATES else None
 
 
-def _given_spec(job: JobState) -> JobSpec:
+def _allocated_spec(job: JobState) -> JobSpec:
     """The job as the platform is told of it: with the room that its placing gave it."""
     spec, usage = job["spec"], job.get("usage")
     if usage is None:
--- a/mustardgap/job_desks.py
+++ b/mustardgap/job_desks.py
@@ -48,16 +48,16 @@
         :return: MG4020 stored, MG4027 or MG4028 certainly not stored, MG4029 not known.
         """
         if not self._shard.loaded:
-            return job_replies.not_owner("the owner is reading its jobs")
+            return job_replies.owner_unavailable("the owner is reading its jobs")
         if job_id in self._shard.jobs_by_id:
             return job_replies.ACCEPTED
         ticket = self._accepting_by_id.get(job_id)
         if ticket is None:
             # Only what is new: refused as not run, a job that is on record would run all the same.
             if self._shard.handing_over:
-                return job_replies.not_owner("the owner is handing over its jobs")
+                return job_replies.owner_unavailable("the owner is handing over its jobs")
             if self._shard.log.failing_s() > GIVE_UP_S:
-                return job_replies.store_away("the store doesn't answer the owner")
+                return job_replies.store_unavailable("the store doesn't answer the owner")
             stored = StoredJob(queue.name, queue.service, self._clock.wall(), spec)
             ticket = self._shard.log.put(JOB_KEY + job_id, encode_job(stored))
             self._accepting_by_id[job_id] = ticket
@@ -67,7 +67,7 @@
     async def cancel(self, job_id: str) -> JobReply:
         """Cancel a job durably, then stop what runs of it."""
         if not self._shard.loaded:
-            return job_replies.not_owner("the owner is reading its jobs")
+            return job_replies.owner_unavailable("the owner is reading its jobs")
         accepting = self._accepting_by_id.get(job_id)
         if accepting is not None:
             await asyncio.wait([accepting.outcome], timeout=ACCEPT_S)
@@ -84,7 +84,7 @@
     async def state(self, job_id: str) -> JobReply:
         """Where a job stands, by what is durable."""
         if not self._shard.loaded:
-            return job_replies.not_owner("the owner is reading its jobs")
+            return job_replies.owner_unavailable("the owner is reading its jobs")
         job = self._shard.jobs_by_id.get(job_id)
         if job is None:
             if job_id in self._accepting_by_id:
@@ -99,7 +99,7 @@
     def pending(self, queue_name: str) -> JobReply:
         """How many accepted jobs of a queue haven't begun."""
         if not self._shard.loaded or not self._shard.settled():
-            return job_replies.not_owner("the owner isn't sure of its jobs")
+            return job_replies.owner_unavailable("the owner isn't sure of its jobs")
         count = sum(
             1
             for job in self._shard.jobs_by_id.values()
@@ -115,19 +115,19 @@
             return job_replies.UNKNOWN_JOB
         if isinstance(outcome, Fenced):
             self._shard.step_down()
-        return job_replies.not_owner("the owner isn't sure of its jobs")
+        return job_replies.owner_unavailable("the owner isn't sure of its jobs")
 
     async def _await_stored(self, ticket: Ticket, key: str, reply: JobReply) -> JobReply:
         await asyncio.wait([ticket.outcome], timeout=ACCEPT_S)
         if not ticket.outcome.done():
             if key.startswith(JOB_KEY) and self._shard.log.withdraw(key, ticket):
-                return job_replies.store_away("the store is slow")
+                return job_replies.store_unavailable("the store is slow")
             return job_replies.UNSETTLED
         stored = ticket.outcome.result()
         if stored is Stored.YES:
             return reply
         if stored is Stored.NO:
-            return job_replies.not_owner("another daemon owns the queue")
+            return job_replies.owner_unavailable("another daemon owns the queue")
         return job_replies.UNSETTLED
 
     async def _accept(self, job_id: str, stored: StoredJob, ticket: Ticket) -> None:
--- a/mustardgap/job_gateways.py
+++ b/mustardgap/job_gateways.py
@@ -283,7 +283,7 @@
                 return job_replies.unanswered(detail, is_change=name in CHANGES)
         address = self._owners.address_of(shard)
         if address is None:
-            return job_replies.not_owner("nobody owns the queue yet")
+            return job_replies.owner_unavailable("nobody owns the queue yet")
         try:
             answer = await self._peers.call(
                 address, name, [shard, values], timeout_s=min(timeout_s, left_s)
@@ -291,13 +291,13 @@
         except PeerUnreachable as exc:
             if exc.sent:
                 return job_replies.unanswered(str(exc), is_change=name in CHANGES)
-            return job_replies.not_owner(str(exc))
+            return job_replies.owner_unavailable(str(exc))
         return job_replies.decode(answer)
 
     async def _local(self, shard: int, name: str, values: list[Any]) -> JobReply:
         owned = self._owners.owned_by_shard.get(shard)
         if not isinstance(owned, Dispatcher) or owned.ended.is_set():
-            return job_replies.not_owner("this daemon doesn't own the queue")
+            return job_replies.owner_unavailable("this daemon doesn't own the queue")
         if name == "submit":
             job_id, queue, spec = values
             return await owned.desk.submit(
--- a/mustardgap/job_stories.py
+++ b/mustardgap/job_histories.py
@@ -1,4 +1,4 @@
-"""The story of one job over all daemons, from their structured log lines."""
+"""The history of one job over all daemons, from their structured log lines."""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -9,10 +9,10 @@
 from . import status_codes
 from .exceptions import SettingsError
 
-# Fields that are told otherwise.
-_TOLD = frozenset({"time", "host", "event"})
+# Fields that are selected otherwise.
+_LINE_KEYS = frozenset({"time", "host", "event"})
 # What happens to a whole shard explains the gaps in the stories of its jobs.
-_SHARD_EVENTS = ("shard.", "store.", "group.", "daemon.")
+_SHARD_EVENT_PREFIXES = ("shard.", "store.", "group.", "daemon.")
 
 
 class Line(NamedTuple):
@@ -37,11 +37,11 @@
             raise SettingsError(
                 code=status_codes.SETTINGS_UNREADABLE, detail=str(exc), place=str(path)
             ) from None
-        lines.extend(_parsed(text))
+        lines.extend(_parse(text))
     return sorted(lines, key=lambda line: line.time)
 
 
-def story(lines: Iterable[Line], job: str) -> list[str]:
+def history(lines: Iterable[Line], job: str) -> list[str]:
     """Tell what happened to a job, in order, with what befell its shard meanwhile.
 
     :param lines: the lines of all daemons, by time.
@@ -54,44 +54,44 @@
     first, last = own[0].time, own[-1].time
     shards = {line.fields["shard"] for line in own if "shard" in line.fields}
     hosts = {line.host for line in own}
-    told = [
+    selected = [
         line
         for line in ordered
-        if first <= line.time <= last and (line in own or _befell(line, shards, hosts))
+        if first <= line.time <= last and (line in own or _concerns_shard(line, shards, hosts))
     ]
-    return [_told(line, first) for line in told]
+    return [_format_line(line, first) for line in selected]
 
 
-def _befell(line: Line, shards: set[int], hosts: set[str]) -> bool:
-    if not line.event.startswith(_SHARD_EVENTS):
+def _concerns_shard(line: Line, shards: set[int], hosts: set[str]) -> bool:
+    if not line.event.startswith(_SHARD_EVENT_PREFIXES):
         return False
     return line.fields.get("shard") in shards or (
         "shard" not in line.fields and line.host in hosts and line.event != "group.generation"
     )
 
 
-def _told(line: Line, first: float) -> str:
+def _format_line(line: Line, first: float) -> str:
     fields = " ".join(
-        f"{key}={_short(value)}" for key, value in line.fields.items() if key != "job"
+        f"{key}={_format_value(value)}" for key, value in line.fields.items() if key != "job"
     )
     return f"{line.time - first:8.3f} s  {line.host}  {line.event}  {fields}".rstrip()
 
 
-def _short(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, list):
         return ".".join(str(part) for part in value)
     return str(value)
 
 
-def _parsed(text: str) -> Iterator[Line]:
+def _parse(text: str) -> Iterator[Line]:
     for raw in text.splitlines():
-        place = raw.find('{"time":')
-        if place < 0:
+        start = raw.find('{"time":')
+        if start < 0:
             continue
         try:
-            row = msgspec.json.decode(raw[place:])
+            row = msgspec.json.decode(raw[start:])
         except msgspec.DecodeError:
             # The last line of a process that was killed may be cut.
             continue
-        fields = {key: value for key, value in row.items() if key not in _TOLD}
+        fields = {key: value for key, value in row.items() if key not in _LINE_KEYS}
         yield Line(row["time"], row.get("host", ""), row.get("event", ""), fields)
--- a/mustardgap/job_replies.py
+++ b/mustardgap/job_replies.py
@@ -49,12 +49,12 @@
 UNSETTLED = JobReply(status_codes.JOB_UNSETTLED)
 
 
-def not_owner(detail: str) -> JobReply:
+def owner_unavailable(detail: str) -> JobReply:
     """Nobody who owns the queue could be asked; the call had no effect."""
     return JobReply(status_codes.OWNER_UNAVAILABLE, detail=detail)
 
 
-def store_away(detail: str) -> JobReply:
+def store_unavailable(detail: str) -> JobReply:
     """The store takes no records; the call had no effect."""
     return JobReply(status_codes.STORE_UNAVAILABLE, detail=detail)
 
@@ -64,4 +64,4 @@
 
     An unanswered question can be repeated; an unanswered change may have been made.
     """
-    return UNSETTLED._replace(detail=detail) if is_change else not_owner(detail)
+    return UNSETTLED._replace(detail=detail) if is_change else owner_unavailable(detail)
