--- a/features/actors.feature
+++ b/features/actors.feature
@@ -1,11 +1,11 @@
-Feature: Actors carry decisions out on the platform
-  What the log says of hosts takes effect on the platform once, whatever goes wrong on the way.
+Feature: Actors carry out decisions on the platform
+  Each decision on the log takes effect on the platform once, whatever faults occur.
 
   Scenario Outline: A host is maintained with the fault "<fault>"
-    The caller of a request sees nothing of it; the operator sees the wave end. An answer is lost,
-    an actor dies, wakes from a freeze, or a second one acts at the same time, between two steps of
-    the same host. It holds because each step is decided anew from the log and the view, its
-    operation has one id for all daemons, and an older epoch is turned down.
+    Callers aren't affected, and the operator sees the wave end. Between two steps of a host an
+    answer is lost, an actor dies or resumes after a freeze, or a second actor acts at the same
+    time. Each step is decided anew from the log and the view, its operation has the same id on all
+    daemons, and an older epoch is rejected.
 
     Given actors of two daemons on a fake platform
     When actors maintain r1-w1 with the fault "<fault>"
@@ -30,8 +30,8 @@
       | owner sees no change of the platform |
 
   Scenario: A step is retried and logged when something that it awaited is cancelled
-    The operator sees a host's maintenance take longer, and wants to know why. What a step awaited was
-    closed by another part; the step is decided anew, but nothing told that it had ended.
+    Something that a step awaited was closed by another part. The step is decided anew; without a
+    log line the operator couldn't tell why the maintenance of the host takes longer.
 
     Given actors of two daemons on a fake platform
     When actors maintain r1-w1 and an await of one step of each daemon is cancelled
@@ -39,17 +39,17 @@
     And actors have logged each step that was cancelled
 
   Scenario: An undrain of an earlier epoch arrives when the host is being rebooted
-    The request that runs on the host would be cut off. A drain is taken back and wanted again, and
-    the undrain in between was held up on its way; the worker was empty all the time, so nothing
-    else would be sent. It is fenced because the worker must first have seen the drain's own epoch.
+    A request that runs on the host would be cut off. A drain is cancelled and requested again; the
+    undrain in between is delayed. The worker is empty all the time, so nothing else would be sent.
+    The undrain is fenced because the worker must first have seen the epoch of the drain.
 
     Given actors of two daemons on a fake platform
     When actors drain r1-w1, undrain it with a late call, and maintain it
     Then actors have rebooted r1-w1 once, empty, and it is in service again
 
   Scenario Outline: A daemon with outdated views starts no step: <cause>
-    A step that others have undone long ago would be taken. The daemon is cut off or wakes up while
-    its views are old. It waits until both were read again.
+    The daemon is disconnected or resumes after a freeze, and would take a step that others have
+    since undone. It waits until both views were read again.
 
     Given actors of two daemons on a fake platform
     When actors of a single daemon have a host to drain after "<cause>"
@@ -61,8 +61,8 @@
       | a freeze         |
 
   Scenario Outline: A worker that <what>
-    The operator must learn of it and the rest must go on. The worker never becomes empty, or never
-    comes back. Its step is given up after a bounded time, with a numbered code.
+    The worker never becomes empty, or never returns. Its step is abandoned after a bounded time,
+    with a numbered code for the operator, and the other hosts aren't held up.
 
     Given actors of two daemons on a fake platform
     When actors handle a worker that <what>
@@ -74,8 +74,8 @@
       | never returns | 4013 | set_aside  |
 
   Scenario Outline: A worker goes down while it is <phase>, and comes back
-    The budget must count it out at once and in again later, in the same pool. What an operator
-    wanted out stays out.
+    The budget must stop counting it at once and count it again later, in the same pool. A host that
+    an operator drained stays drained.
 
     Given actors of two daemons on a fake platform
     When actors see r1-w1 go down and come back while it is <phase>
@@ -87,17 +87,17 @@
       | draining   | drained    |
 
   Scenario: Machines move between pools while jobs are being placed on them
-    A job would start on a host that serves requests by then. A host is drained for another pool
-    between the job's placing and its start. The start is not made, and the job goes elsewhere.
+    A host is drained for another pool between the placement of a job and its start, and the job
+    would start on a host that serves requests. It isn't started there, and is placed elsewhere.
 
     Given actors of two daemons on a fake platform
     When actors move hosts from batch to the service while jobs are placed there
     Then actors have started every job on a host of batch, and each job has run once
 
   Scenario: The host list shows a host as leaving on short notice
-    Requests would find too few executors once it is gone. The service has no margin when the
-    notice comes. The replacement must be in service before the host is emptied; a planner that
-    isn't told leaves it where it is until the platform takes it away.
+    The service has no margin when the notice arrives, and would have too few executors without the
+    host. The replacement must be in service before the host is drained; a planner that isn't told
+    leaves the host in service until the platform removes it.
 
     Given actors of two daemons on a fake platform
     When actors are told that r0-w0 is leaving while its service has no margin
@@ -109,17 +109,17 @@
     Then actor processes have emptied it alone
 
   Scenario: A host returns from its reboot after its place in the pool was filled
-    A sound host would be given up as one that never returned. Its service has got all the hosts
-    that it may hold while it was away, so the fold turns its way back into service down, each time.
-    It becomes a free host: drained in the same pool, of no wave, for the planner to use elsewhere.
+    The service reached its maximum of hosts meanwhile, so the fold rejects each return of the host
+    to service, and a healthy host would be set aside as one that never returned. It becomes a free
+    host instead: drained in the same pool, in no wave, for the planner to use elsewhere.
 
     Given actors of two daemons on a fake platform
     When actors maintain r1-w0 and its place in the pool is filled meanwhile
     Then actors have kept r1-w0 as a free host and the wave has ended
 
   Scenario Outline: A worker that is <state> in pool "<pool>" is seen for the first time
-    A short service would wait while a sound host stands unused: nobody has asked to keep it out, and
-    still it was taken for a host that an operator has drained.
+    The host was mistaken for one that an operator had drained, so a service that lacked hosts would
+    wait while a healthy host was unused.
 
     Given actors of two daemons on a fake platform
     When actors see a new worker that is <state> in pool "<pool>"
@@ -136,9 +136,9 @@
     Then actors never run or reboot anything twice or cut it off with its fixed seeds
 
   Scenario: Separate processes with real faults
-    Two daemons maintain a rack while answers of operations are lost or doubled, one daemon is
-    frozen (SIGSTOP), later killed (SIGKILL) and started again. The platform's record shows each
-    reboot once, and nothing cut off.
+    Two daemons maintain a rack while answers to operations are lost or operations arrive twice. One
+    daemon is frozen (SIGSTOP), later killed (SIGKILL) and restarted. The platform's record must
+    show each reboot once, and no request or task cut off.
 
     Given actors in two daemon processes on the platform stand-in
     When actor processes maintain a rack with lost answers, a freeze and a kill
--- a/features/steps/actors_hosts_steps.py
+++ b/features/steps/actors_hosts_steps.py
@@ -1,4 +1,4 @@
-"""Steps about hosts that come, leave on short notice, or come back to a place that was filled."""
+"""Steps about hosts that are new, leave on short notice, or return after being replaced."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 def host_records(world):
-    """The accepted host records so far, in order."""
+    """Return the host records written so far, in order."""
     records = [world.journal.read(n).value for n in range(len(world.journal.values))]
     return [r["body"] for r in records if r["kind"] == "host"]
 
--- a/features/steps/actors_steps.py
+++ b/features/steps/actors_steps.py
@@ -1,4 +1,4 @@
-"""Steps that make actors act under faults."""
+"""Steps that run actors with faults."""
 
 import asyncio
 import signal
@@ -31,18 +31,18 @@
 
 
 def phase(world, name=HOST):
-    """A host's phase on the log."""
+    """Return a host's phase on the log."""
     return world.host(name)["phase"]
 
 
 def is_maintained(world):
-    """Whether the host was rebooted and is back in service, on the log and on the platform."""
+    """Return whether the host was rebooted and is in service on the log and the platform."""
     worker = world.platform.workers_by_id[HOST]
     return worker["boot"] > 1 and worker["state"] == "up" and phase(world) == "in_service"
 
 
 async def inject_owner_fault(world, what, when_phase):
-    """Kill or freeze the owner, or take the log or the power away, in a phase."""
+    """Kill or freeze the owner, or cut the log or the power, when the host reaches a phase."""
     await until(world, lambda: phase(world) == when_phase)
     if what == "owner killed":
         name = owner(world).name
@@ -70,7 +70,7 @@
 
 
 def start_wave(world):
-    """Start a wave over the one host."""
+    """Start a wave of the one host."""
     body = {"wave": "w", "base": 0, "step": "start", "hosts": [HOST]}
     world.journal.write("wave", body)
 
@@ -124,7 +124,7 @@
 
 @then("actors have logged each step that was cancelled")
 def step_lines(context):
-    assert context.cancelled, "nothing was cancelled"
+    assert context.cancelled, "no step was cancelled"
     assert len(context.lines) == context.cancelled, (context.lines, context.cancelled)
 
 
@@ -196,7 +196,7 @@
 @then("actors of that daemon have made no calls until both views are fresh")
 def step_called_nothing(context):
     assert context.early == 0, context.calls
-    assert context.calls, "nothing was called afterwards"
+    assert context.calls, "no calls were made after the views were read"
 
 
 @when("actors handle a worker that {what}")
--- a/features/support/actor_machine.py
+++ b/features/support/actor_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over two daemons' actors; the platform's own record is the oracle."""
+"""A state machine of two daemons' actors, checked against the platform's own record."""
 
 import asyncio
 import os
@@ -25,7 +25,7 @@
 
 
 class ActorMachine(RuleBasedStateMachine):
-    """Anything may happen to platform, log and daemons; nothing may be done twice or cut off."""
+    """Applies faults to platform, log and daemons; nothing may be done twice or cut off."""
 
     def __init__(self):
         super().__init__()
@@ -35,12 +35,12 @@
         self.late_since = {}
 
     def run(self, coroutine):
-        """Run on this machine's event loop."""
+        """Run a coroutine on this machine's event loop."""
         return self.loop.run_until_complete(coroutine)
 
     @initialize()
     def begin(self):
-        """Declare, and register the workers."""
+        """Publish the declarations, and let the workers be registered."""
         declare(self.world)
         self.run(self.world.pass_time(4, step=1.0))
 
@@ -61,7 +61,7 @@
         count=st.integers(1, 4),
     )
     def submit(self, count, fails, **spec):
-        """Submit a few jobs alike."""
+        """Submit a few jobs of the same kind."""
         open_jobs = [
             j for j in self.world.journal.state.jobs_by_id.values() if j["phase"] != "ended"
         ]
@@ -80,7 +80,7 @@
 
     @rule(rack=st.sampled_from(["r0", "r1", "r2"]))
     def maintain(self, rack):
-        """Start a wave over a rack."""
+        """Start a wave of a rack."""
         hosts = [name for name in NAMES if name.startswith(rack)]
         wave = f"w{self.world.journal.state.offset}"
         body = {"wave": wave, "base": 0, "step": "start", "hosts": hosts}
@@ -88,7 +88,7 @@
 
     @rule(name=st.sampled_from(NAMES), phase=st.sampled_from(["draining", "in_service"]))
     def operate(self, name, phase):
-        """Drain a host by hand, or take that back."""
+        """Drain a host as an operator, or put it back in service."""
         self._write_host(name, phase)
 
     def _write_host(self, name, phase):
@@ -99,24 +99,24 @@
 
     @rule(name=st.sampled_from(NAMES), fault=st.sampled_from(["paused", "failing", "stuck"]))
     def trouble(self, name, fault):
-        """Begin a worker's trouble, or end it."""
+        """Start or end a fault of a worker."""
         getattr(self.world.platform, fault).symmetric_difference_update({name})
 
     @rule(name=st.sampled_from(NAMES), on=st.booleans(), whole_rack=st.booleans())
     def power(self, name, on, whole_rack):
-        """Switch a worker or its rack off, or on."""
+        """Switch a worker or its rack on or off."""
         for other in NAMES:
             if other == name or (whole_rack and other[:2] == name[:2]):
                 self.world.platform.power(other, on)
 
     @rule(name=st.sampled_from(DAEMONS), count=st.integers(1, 3), late=st.booleans())
     def lose_answers(self, name, count, late):
-        """Lose the next answers; late calls take effect only afterwards."""
+        """Lose the next answers; late calls take effect only when they are delivered."""
         setattr(self.world.daemons_by_name[name].link, "delay" if late else "lose", count)
 
     @rule(name=st.sampled_from(DAEMONS))
     def deliver(self, name):
-        """Let late calls arrive."""
+        """Deliver the late calls."""
         self.world.daemons_by_name[name].link.deliver()
         self.late_since.pop(name, None)
 
@@ -132,7 +132,7 @@
 
     @rule(name=st.sampled_from(DAEMONS), what=st.sampled_from(["freeze", "thaw", "cut", "kill"]))
     def disturb(self, name, what):
-        """Freeze, thaw, cut off or kill a daemon."""
+        """Freeze, resume, disconnect or kill a daemon."""
         daemon = self.world.daemons_by_name[name]
         if what == "kill":
             self.world.replace(name)
@@ -145,21 +145,21 @@
 
     @rule(name=st.sampled_from(DAEMONS), alone=st.booleans())
     def see(self, name, alone):
-        """Let a daemon think that it is alone, so that both take every step."""
+        """Make a daemon rank only itself, so that both take every step."""
         self.world.daemons_by_name[name].ranked_names = [name] if alone else None
 
     @rule(what=st.sampled_from(["journal", "platform"]), down=st.booleans())
     def outage(self, what, down):
-        """Begin or end an outage of the log or of the platform."""
+        """Start or end an outage of the log or of the platform."""
         getattr(self.world, what).is_down = down
 
     @invariant()
     def nothing_is_broken(self):
-        """Nothing ran twice, overlapped, or was cut off by a reboot of ours."""
+        """Check that no task ran twice, overlapped another attempt, or was cut off by a reboot."""
         assert not self.world.platform.broken, self.world.platform.broken
 
     def end_faults(self):
-        """End all trouble."""
+        """End all faults."""
         self.world.journal.is_down = self.world.platform.is_down = False
         for fault in ("paused", "failing", "stuck"):
             getattr(self.world.platform, fault).clear()
@@ -172,7 +172,7 @@
             daemon.link.deliver()
 
     def teardown(self):
-        """When all is well again, every job ends and every host is where the log says."""
+        """Check that after all faults every job ends and every host is where the log says."""
         self.end_faults()
         for name in NAMES:
             host = self.world.journal.state.hosts_by_name.get(name)
@@ -192,7 +192,7 @@
         assert not left, left
 
     def unfinished(self):
-        """Jobs and hosts that haven't come to rest."""
+        """Return the jobs and hosts that haven't reached a final phase."""
         state, workers = self.world.journal.state, self.world.platform.workers_by_id
         left: list = [j for j in state.jobs_by_id.values() if j["phase"] != "ended"]
         for name, host in state.hosts_by_name.items():
--- a/features/support/actor_steps.py
+++ b/features/support/actor_steps.py
@@ -1,4 +1,4 @@
-"""What the steps of actors and of jobs share."""
+"""Functions shared by the steps of actors and of jobs."""
 
 import json
 from urllib.request import Request, urlopen
@@ -7,13 +7,13 @@
 
 
 def owner(world, key=f"host/{HOST}"):
-    """The daemon whose turn a key is first."""
+    """Return the daemon that ranks first for a key."""
     daemon = next(iter(world.daemons_by_name.values()))
     return world.daemons_by_name[daemon.ranked(key)[0]]
 
 
 async def until(world, condition, limit_s=150):
-    """Let time pass until something holds."""
+    """Let time pass until a condition holds."""
     for _ in range(limit_s * 2):
         if condition():
             return
@@ -22,7 +22,7 @@
 
 
 def write_host(world, phase, name=HOST, pool=None, reason="operator"):
-    """Write a step of a host as an operator does."""
+    """Write a host record as an operator does."""
     host = world.host(name)
     pool = host["pool"] if pool is None else pool
     body = {"host": name, "base": host["epoch"], "phase": phase, "pool": pool, "reason": reason}
--- a/mustardgap/actors.py
+++ b/mustardgap/actors.py
@@ -1,4 +1,4 @@
-"""Carries decisions out on the platform: every daemon runs it, and each key has one first actor."""
+"""Takes the steps of hosts and jobs on every daemon; members are ranked for each step's key."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Collection
@@ -26,18 +26,18 @@
 
 
 class Actors:
-    """Looks at what has changed, and takes the steps that are this daemon's to take.
+    """Takes the steps that are this daemon's duty after changes of the log or the platform.
 
     Each step is decided anew from the folded state and the platform's view, so a step that was
-    lost, doubled or left half done by a daemon that died is simply decided again.
+    lost, repeated or left incomplete by a daemon that died is decided again.
 
-    :param platform: the platform's adapter.
+    :param platform: the platform.
     :param log: the state stream.
     :param members: the entry hosts.
-    :param workers: the polled view.
+    :param workers: the polled view of the workers.
     :param settings: the daemon's settings.
     :param timers: the timer service.
-    :param timeline: where steps are noted.
+    :param timeline: records the steps taken.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         timers.on_gap(self._cancel_all)
 
     async def run(self) -> None:
-        """Act until cancelled."""
+        """Take steps until cancelled."""
         self._restart()
         unsubscribe = self.timers.subscribe("actors", self.settings.capacity.act_s, self.act)
         try:
@@ -92,7 +92,7 @@
             self._cancel_all()
 
     def act(self) -> None:
-        """Begin the steps that are due and not under way; none on views that are too old."""
+        """Start the due steps that aren't running; only leases are renewed on outdated views."""
         may_begin = self.operations.may_begin()
         for number, batch in enumerate(self.jobs.leases_due()):
             self._begin(f"renew/{number}", partial(self.jobs.renew, batch))
@@ -109,32 +109,32 @@
             self._call_logged(kind, partial(self._begin_each, kind, actor))
 
     def leaving_workers(self, workers: Collection[str]) -> None:
-        """Have these workers replaced and emptied: the platform's list shows them as leaving."""
+        """Update which workers the platform lists as leaving on short notice."""
         self.planner.leaving_workers(workers)
 
     @property
     def is_busy(self) -> bool:
-        """Whether steps are under way."""
+        """Whether steps are running."""
         return bool(self._tasks_by_key)
 
     def close(self) -> None:
-        """Give up the steps under way, as when the process ends."""
+        """Cancel the running steps, as at the end of the process."""
         self._cancel_all()
 
     async def settle(self) -> None:
-        """Begin nothing more and wait for the steps under way, as before a planned stop."""
+        """Start no more steps and wait for those running, as before a planned stop."""
         self._is_stopping = True
         if self._tasks_by_key:
             await asyncio.wait(list(self._tasks_by_key.values()), timeout=ACTION_TIMEOUT_S)
 
     def look_at_all(self) -> None:
-        """Look at everything anew."""
+        """Queue everything for a new decision."""
         self.hosts.look_at_all()
         self.registrar.look_at_all()
         self.jobs.look_at_all()
 
     def _restart(self) -> None:
-        """Begin anew on a state that was taken over whole."""
+        """Rebuild everything from a restored state."""
         self.placer.restart()
         self.jobs.restart()
         self.look_at_all()
@@ -151,7 +151,7 @@
             self._begin(f"{kind}/{name}", partial(actor.act, name, step))  # type: ignore[arg-type]
 
     def _call_logged(self, key: str, function: Callable[[], None]) -> None:
-        """Call a function; a fault in one part must not keep the others from acting."""
+        """Call a function and log its failure, so that the other parts still act."""
         try:
             function()
         except Exception:
@@ -174,11 +174,11 @@
                 del self._tasks_by_key[key]
 
     def _cancel_all(self, lost_s: float = 0.0) -> None:
-        """Drop all that is under way and look at everything anew.
+        """Cancel all running steps and queue everything for a new decision.
 
-        After a freeze the others have gone on: what this daemon was about to do may have been done
-        and undone since. Cancelling stops the steps that wait, and the tickets stop those that
-        run on before the cancellation reaches them.
+        During a freeze other daemons may have taken and undone the steps that this daemon was about
+        to take. Cancelling stops the steps that wait, and their tickets stop those that continue
+        before the cancellation reaches them.
         """
         for task in self._tasks_by_key.values():
             task.cancel()
--- a/mustardgap/adapters.py
+++ b/mustardgap/adapters.py
@@ -1,4 +1,4 @@
-"""The platform, behind one adapter: its log, host list, workers and tasks.
+"""Adapter for the platform: its log, host list, workers and tasks.
 
 The calls and their answers are described in docs/PLATFORM.md.
 """
@@ -39,14 +39,14 @@
 
 
 class HostsPage(NamedTuple):
-    """The lagging list of hosts and the time it shows."""
+    """The host list, which lags, and the time as of which it is valid."""
 
     as_of: float
     hosts: list[HostEntry]
 
 
 class Operation(NamedTuple):
-    """What the platform knows of an operation."""
+    """An operation as the platform reports it."""
 
     operation: str
     worker: str
@@ -58,11 +58,11 @@
 class Platform:
     """The platform's services over HTTP.
 
-    Each call opens a connection of its own. That costs a round trip, and in exchange no call can
-    be lost on a pooled connection that went silent while it was idle.
+    Each call opens its own connection. This costs a round trip, but no call can be lost on a
+    pooled connection that failed silently while it was idle.
 
     :param address: ``ip:port`` of the platform.
-    :param timeout_s: seconds a call may take, beyond what it asks the platform to wait.
+    :param timeout_s: timeout of a call in seconds, without the time it asks the platform to wait.
     """
 
     def __init__(self, *, address: str, timeout_s: float = 2.0) -> None:
@@ -76,15 +76,15 @@
         )
 
     def close(self) -> None:
-        """Drop all open calls."""
+        """Cancel all open calls."""
         self._client.close()
 
     async def append(self, stream: str, values: list[Any]) -> int:
-        """Append records together.
+        """Append records as one batch.
 
         :param stream: the stream's name.
         :param values: the records, JSON objects.
-        :return: the offset of the first.
+        :return: the offset of the first record.
         :raises PlatformError: nothing was appended.
         :raises AnswerLost: the records may have been appended.
         """
@@ -92,12 +92,12 @@
         return int(resp["first"])
 
     async def read(self, stream: str, start: int, *, limit: int = 500, wait_s: float = 0.0) -> Page:
-        """Read records from an offset on.
+        """Read records, starting at an offset.
 
         :param stream: the stream's name.
-        :param start: the first offset wanted.
-        :param limit: the most records to return.
-        :param wait_s: seconds to wait when there is none yet.
+        :param start: the offset to start at.
+        :param limit: the maximum number of records to return.
+        :param wait_s: seconds to wait when there are no records yet.
         :raises LogExpired: the log no longer keeps ``start``.
         """
         query = urlencode({"from": start, "limit": limit, "wait": wait_s})
@@ -106,7 +106,7 @@
         return Page(records, resp["next"], resp["oldest"], resp["end"])
 
     async def hosts(self) -> HostsPage:
-        """Read the lagging list of hosts."""
+        """Read the host list, which lags."""
         resp = await self._call("GET", "/hosts")
         return HostsPage(resp["as_of"], resp["hosts"])
 
@@ -115,7 +115,7 @@
         await self._call("PUT", f"/hosts/{quote(entry['host'])}", entry)
 
     async def withdraw(self, host: str) -> None:
-        """Take this entry host off the list."""
+        """Remove this entry host from the list."""
         await self._call("DELETE", f"/hosts/{quote(host)}")
 
     async def workers(self, since: int = 0) -> WorkersPage:
@@ -136,7 +136,7 @@
         return str(resp["result"])
 
     async def operation(self, operation: str) -> Operation | None:
-        """Ask about an operation; None when the platform has never seen it."""
+        """Return an operation, or None when the platform doesn't know it."""
         try:
             resp = await self._call("GET", f"/operations/{quote(operation, safe='')}")
         except PlatformError as exc:
@@ -183,7 +183,7 @@
     async def renew_tasks(self, epochs_by_task: dict[str, int], *, lease_s: float) -> list[str]:
         """Renew the leases of many tasks.
 
-        :return: the tasks whose leases had run out.
+        :return: the tasks whose leases had expired.
         """
         tasks = [{"task": task, "epoch": epoch} for task, epoch in epochs_by_task.items()]
         resp = await self._call("POST", "/tasks/renew", {"tasks": tasks, "lease_s": lease_s})
@@ -240,7 +240,7 @@
 
 
 def _timeout_error(method: str, path: str, detail: str) -> PlatformError | AnswerLost:
-    # Tornado tells a time-out while connecting, when nothing was sent, only by its text.
+    # Only the text of Tornado's error shows that the timeout came before anything was sent.
     if "connecting" in detail or "queue" in detail:
         return PlatformError(detail=detail, place=path)
     return _unanswered_error(method, path, detail)
--- a/mustardgap/job_actors.py
+++ b/mustardgap/job_actors.py
@@ -1,4 +1,4 @@
-"""Starts, steps and ends the tasks of jobs as the log says, and renews their leases."""
+"""Starts, steps and ends the tasks of jobs by the log, and renews their leases."""
 
 from collections.abc import Iterable
 from functools import singledispatchmethod
@@ -34,11 +34,11 @@
 
 
 class JobActor:
-    """Takes the steps of jobs that are this daemon's to take.
+    """Takes the steps of jobs that are this daemon's duty.
 
-    :param operations: writes records, and knows the views.
-    :param duties: says whose turn it is.
-    :param placer: knows the room and what this daemon has placed.
+    :param operations: writes records and provides the views.
+    :param duties: decides which member acts.
+    :param placer: tracks the jobs on each worker and those that this daemon has placed.
     """
 
     def __init__(self, *, operations: Operations, duties: Duties, placer: Placer) -> None:
@@ -57,12 +57,12 @@
         return self.operations.log.state
 
     def restart(self) -> None:
-        """Follow a new state from its beginning."""
+        """Rebuild the leases from a new state."""
         self.leases = Leases()
         self.follow(self.placer.rooms.jobs())
 
     def follow(self, jobs: set[str]) -> None:
-        """Take in that these jobs have changed on the log."""
+        """Update the leases of jobs that have changed on the log."""
         for name in jobs:
             job = self.state.jobs_by_id.get(name)
             if job is None or attempt_of(job) is None:
@@ -72,7 +72,7 @@
                 self.leases.update(name, None if task is None else _lease_until(task))
 
     def follow_tasks(self, tasks: Iterable[TaskInfo]) -> None:
-        """Take in that these tasks have changed on the platform."""
+        """Update the leases of tasks that have changed on the platform."""
         for task in tasks:
             job = self.state.jobs_by_id.get(task["job"])
             attempt = None if job is None else attempt_of(job)
@@ -80,20 +80,20 @@
                 self.leases.update(task["job"], _lease_until(task))
 
     def look_at(self, jobs: set[str]) -> None:
-        """Look at these jobs again, as something has changed there."""
+        """Queue jobs for a new decision after a change."""
         self._jobs_to_check |= jobs
 
     def look_at_hosts(self, hosts: set[str]) -> None:
-        """Look at all jobs on these hosts again."""
+        """Queue all jobs on these hosts for a new decision."""
         for host in hosts:
             self._jobs_to_check |= self.placer.rooms.jobs_on(host)
 
     def look_at_all(self) -> None:
-        """Look at all jobs that hold room."""
+        """Queue all jobs that hold resources for a new decision."""
         self._jobs_to_check |= self.placer.rooms.jobs()
 
     def due(self) -> list[tuple[str, JobStep]]:
-        """The steps that this daemon should take now, by job."""
+        """Return the steps that this daemon should take now, with their jobs' ids."""
         due_steps = []
         for name in sorted(self._jobs_to_check):
             job = self.state.jobs_by_id.get(name)
@@ -128,7 +128,7 @@
         return stray_step(job, task, workers.by_id.get(worker), now)
 
     def leases_due(self) -> list[dict[str, int]]:
-        """The leases that this daemon should renew now, in batches: the job's epoch by task."""
+        """Return the leases to renew now in batches, each with the jobs' epochs by task."""
         now = self.operations.timers.clock.monotonic()
         lease_s = self.operations.settings.capacity.lease_s
         if now - self._renewed_at < lease_s * RENEW_INTERVAL_FRACTION:
@@ -139,7 +139,7 @@
             job = self.state.jobs_by_id[name]
             view = self._view(job)
             if view.task is None or not keeps_lease(view) or view.now > view.task["lease_until"]:
-                # Looked at from time to time, as a lease that runs out changes nothing polled.
+                # The end of a lease doesn't change the polled views, so it is checked for here.
                 self._jobs_to_check.add(name)
             elif self._should_renew(job, view.task):
                 epochs_by_task[view.task["task"]] = job["epoch"]
@@ -149,7 +149,7 @@
         ]
 
     def _lease_candidates(self) -> set[str]:
-        """The jobs of this daemon's keys, and those whose owner may be late."""
+        """Return the jobs of this daemon's keys, and those whose owner may be late."""
         settings = self.operations.settings.capacity
         limit_s = max(
             settings.lease_s * (1 - RENEW_INTERVAL_FRACTION) - settings.takeover_s,
@@ -162,14 +162,14 @@
         return names
 
     def _renew_by_all_s(self) -> float:
-        """With no more than this left of a lease every daemon renews it, whoever owns it."""
+        """Return the remaining time of a lease below which every daemon renews it."""
         return self.operations.settings.capacity.lease_s / 4
 
     async def renew(self, epochs_by_task: dict[str, int]) -> None:
         """Renew the leases of many tasks in one call.
 
-        This goes on while the log is down: what runs is no new decision. The platform turns down
-        what has lapsed already, so a daemon that was frozen can't bring a lapsed lease back.
+        Renewal continues while the log is down, because it makes no new decision. The platform
+        rejects leases that have lapsed, so a daemon that was frozen can't restore one.
         """
         lease_s = self.operations.settings.capacity.lease_s
         try:
@@ -215,7 +215,7 @@
                 spec=_allocated_spec(job),
             )
         except AnswerLost as exc:
-            # It may run. It is started again under the same id, which is the way to find out.
+            # The task may be running. Starting it again under the same id is safe and settles that.
             self.placer.placed_here.pop(job["job"], None)
             count("start", exc.code.name)
             return
@@ -273,7 +273,7 @@
         return now - seen[1]
 
     def _should_renew(self, job: JobState, task: TaskInfo) -> bool:
-        """The owner always renews; the next ones do when the lease has come closer to its end."""
+        """Return True for the owner of the lease, and for other members closer to its end."""
         rank = self.duties.rank(f"lease/{lease_key_of(job['job'])}")
         if rank is None:
             return False
@@ -297,7 +297,7 @@
 
 
 def _allocated_spec(job: JobState) -> JobSpec:
-    """The job as the platform is told of it: with the room that its placing gave it."""
+    """Return the spec with the resources that were allocated when the job was placed."""
     spec, usage = job["spec"], job.get("usage")
     if usage is None:
         return spec
--- a/mustardgap/job_histories.py
+++ b/mustardgap/job_histories.py
@@ -9,14 +9,14 @@
 from . import status_codes
 from .exceptions import SettingsError
 
-# Fields that are selected otherwise.
+# Keys of a line that have their own field in Line.
 _LINE_KEYS = frozenset({"time", "host", "event"})
-# What happens to a whole shard explains the gaps in the stories of its jobs.
+# Events of a whole shard explain the gaps in the histories of its jobs.
 _SHARD_EVENT_PREFIXES = ("shard.", "store.", "group.", "daemon.")
 
 
 class Line(NamedTuple):
-    """One structured line."""
+    """One structured log line."""
 
     time: float
     host: str
@@ -25,7 +25,7 @@
 
 
 def read(paths: Iterable[Path]) -> list[Line]:
-    """Read the structured lines of some logs; other text before or between them is passed over.
+    """Read the structured lines of log files, ordered by time; other text is skipped.
 
     :raises SettingsError: MG2000, a file can't be read.
     """
@@ -42,15 +42,16 @@
 
 
 def history(lines: Iterable[Line], job: str) -> list[str]:
-    """Tell what happened to a job, in order, with what befell its shard meanwhile.
+    """Format the events of a job, in order, with those of its shards meanwhile.
 
-    :param lines: the lines of all daemons, by time.
+    :param lines: the lines of all daemons, ordered by time.
     :param job: the job's id.
+    :return: one text for each event.
     """
     ordered = list(lines)
     own = [line for line in ordered if line.fields.get("job") == job]
     if not own:
-        return [f"no line names job {job}"]
+        return [f"no log line mentions job {job}"]
     first, last = own[0].time, own[-1].time
     shards = {line.fields["shard"] for line in own if "shard" in line.fields}
     hosts = {line.host for line in own}
@@ -91,7 +92,7 @@
         try:
             row = msgspec.json.decode(raw[start:])
         except msgspec.DecodeError:
-            # The last line of a process that was killed may be cut.
+            # The last line of a process that was killed may be truncated.
             continue
         fields = {key: value for key, value in row.items() if key not in _LINE_KEYS}
         yield Line(row["time"], row.get("host", ""), row.get("event", ""), fields)
--- a/mustardgap/job_replies.py
+++ b/mustardgap/job_replies.py
@@ -1,4 +1,4 @@
-"""What a caller of the job interface is told, with its numbered result code."""
+"""Replies to callers of the job interface, each with a numbered result code."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,12 @@
 from .job_states import JobPhase
 from .status_codes import Code
 
-# Refused callers come back after this; a takeover, the usual cause, takes some 2 s.
+# Refused callers retry after this; a takeover, the usual cause, takes about 2 s.
 RETRY_AFTER_S = 1
 
 
 class JobReply(NamedTuple):
-    """The outcome of one call; ``state`` and ``pending`` are set where they were asked for."""
+    """The outcome of one call; ``state`` and ``pending`` are set if they were requested."""
 
     code: Code
     state: str = ""
@@ -19,12 +19,12 @@
     detail: str = ""
 
     def encode(self) -> list[str | int | None]:
-        """The reply as plain values, for another daemon."""
+        """Return the reply as plain values, for another daemon."""
         return [self.code.number, self.state, self.pending, self.detail]
 
 
 def decode(values: list[str | int | None]) -> JobReply:
-    """A reply from its plain values."""
+    """Return the reply for its plain values."""
     number, state, pending, detail = values
     assert isinstance(number, int)
     return JobReply(
@@ -50,18 +50,18 @@
 
 
 def owner_unavailable(detail: str) -> JobReply:
-    """Nobody who owns the queue could be asked; the call had no effect."""
+    """Return the reply for a queue without an available owner; the call had no effect."""
     return JobReply(status_codes.OWNER_UNAVAILABLE, detail=detail)
 
 
 def store_unavailable(detail: str) -> JobReply:
-    """The store takes no records; the call had no effect."""
+    """Return the reply for a store that takes no records; the call had no effect."""
     return JobReply(status_codes.STORE_UNAVAILABLE, detail=detail)
 
 
 def unanswered(detail: str, *, is_change: bool) -> JobReply:
-    """What is known of a call that was given no answer.
+    """Return the reply for a call that got no answer.
 
-    An unanswered question can be repeated; an unanswered change may have been made.
+    An unanswered query can be repeated; an unanswered change may have taken effect.
     """
     return UNSETTLED._replace(detail=detail) if is_change else owner_unavailable(detail)
