--- a/features/steps/gateways_steps.py
+++ b/features/steps/gateways_steps.py
@@ -52,9 +52,9 @@
             await self._clock.sleep(UNKNOWN_REPLY_DELAY_S)
             return job_replies.UNSETTLED.encode()
         if answer == "no owner":
-            return job_replies.not_owner("not any more").encode()
+            return job_replies.owner_unavailable("not any more").encode()
         if answer == "store unavailable":
-            return job_replies.store_away("store unavailable").encode()
+            return job_replies.store_unavailable("store unavailable").encode()
         return job_replies.ACCEPTED.encode()
 
 
--- a/features/support/actor_steps.py
+++ b/features/support/actor_steps.py
@@ -1,4 +1,4 @@
-"""What the steps of actors and of jobs share."""
+"""Functions shared by the steps of actors and of jobs."""
 
 import json
 from urllib.request import Request, urlopen
@@ -7,25 +7,25 @@
 
 
 def owner(world, key=f"host/{HOST}"):
-    """The daemon whose turn a key is first."""
+    """Return the daemon that ranks first for a key."""
     daemon = next(iter(world.daemons_by_name.values()))
     return world.daemons_by_name[daemon.ranked(key)[0]]
 
 
-async def until(world, met, limit_s=150):
-    """Let time pass until something holds."""
+async def until(world, condition, limit_s=150):
+    """Let time pass until a condition holds."""
     for _ in range(limit_s * 2):
-        if met():
+        if condition():
             return
         await world.pass_time(0.5)
     raise AssertionError("not in time")
 
 
-def write_host(world, to, name=HOST, pool=None, reason="operator"):
-    """Write a step of a host as an operator does."""
+def write_host(world, phase, name=HOST, pool=None, reason="operator"):
+    """Write a host record as an operator does."""
     host = world.host(name)
     pool = host["pool"] if pool is None else pool
-    body = {"host": name, "base": host["epoch"], "phase": to, "pool": pool, "reason": reason}
+    body = {"host": name, "base": host["epoch"], "phase": phase, "pool": pool, "reason": reason}
     return world.journal.write("host", body)
 
 
--- a/mustardgap/job_request_handlers.py
+++ b/mustardgap/job_request_handlers.py
@@ -48,16 +48,16 @@
         :return: MG4020 if stored, MG4027 or MG4028 if certainly not, MG4029 if unknown.
         """
         if not self._dispatcher.loaded:
-            return job_replies.not_owner("the owner is reading its jobs")
+            return job_replies.owner_unavailable("the owner is reading its jobs")
         if job_id in self._dispatcher.jobs_by_id:
             return job_replies.ACCEPTED
         ticket = self._accepting_by_id.get(job_id)
         if ticket is None:
             # Only new jobs are rejected: a stored one would run although reported as not run.
             if self._dispatcher.handing_over:
-                return job_replies.not_owner("the owner is handing over its jobs")
+                return job_replies.owner_unavailable("the owner is handing over its jobs")
             if self._dispatcher.log.failing_s() > MAX_STORE_FAILING_S:
-                return job_replies.store_away("the store doesn't answer the owner")
+                return job_replies.store_unavailable("the store doesn't answer the owner")
             stored = StoredJob(queue.name, queue.service, self._clock.wall(), spec)
             ticket = self._dispatcher.log.put(JOB_KEY + job_id, encode_job(stored))
             self._accepting_by_id[job_id] = ticket
@@ -67,7 +67,7 @@
     async def cancel(self, job_id: str) -> JobReply:
         """Cancel a job durably and stop its runs."""
         if not self._dispatcher.loaded:
-            return job_replies.not_owner("the owner is reading its jobs")
+            return job_replies.owner_unavailable("the owner is reading its jobs")
         accepting = self._accepting_by_id.get(job_id)
         if accepting is not None:
             await asyncio.wait([accepting.outcome], timeout=STORE_WAIT_S)
@@ -84,7 +84,7 @@
     async def state(self, job_id: str) -> JobReply:
         """Return a job's state; its end is reported only once it is durable."""
         if not self._dispatcher.loaded:
-            return job_replies.not_owner("the owner is reading its jobs")
+            return job_replies.owner_unavailable("the owner is reading its jobs")
         job = self._dispatcher.jobs_by_id.get(job_id)
         if job is None:
             if job_id in self._accepting_by_id:
@@ -99,7 +99,7 @@
     def pending(self, queue_name: str) -> JobReply:
         """Return how many accepted jobs of a queue haven't started."""
         if not self._dispatcher.loaded or not self._dispatcher.settled():
-            return job_replies.not_owner("the owner isn't sure of its jobs")
+            return job_replies.owner_unavailable("the owner isn't sure of its jobs")
         count = sum(
             1
             for job in self._dispatcher.jobs_by_id.values()
@@ -117,19 +117,19 @@
             return job_replies.UNKNOWN_JOB
         if isinstance(outcome, Fenced):
             self._dispatcher.step_down()
-        return job_replies.not_owner("the owner isn't sure of its jobs")
+        return job_replies.owner_unavailable("the owner isn't sure of its jobs")
 
     async def _reply_when_stored(self, ticket: Ticket, key: str, reply: JobReply) -> JobReply:
         await asyncio.wait([ticket.outcome], timeout=STORE_WAIT_S)
         if not ticket.outcome.done():
             if key.startswith(JOB_KEY) and self._dispatcher.log.withdraw(key, ticket):
-                return job_replies.store_away("the store is slow")
+                return job_replies.store_unavailable("the store is slow")
             return job_replies.UNSETTLED
         stored = ticket.outcome.result()
         if stored is Stored.YES:
             return reply
         if stored is Stored.NO:
-            return job_replies.not_owner("another daemon owns the queue")
+            return job_replies.owner_unavailable("another daemon owns the queue")
         return job_replies.UNSETTLED
 
     async def _add_when_stored(self, job_id: str, stored: StoredJob, ticket: Ticket) -> None:
