--- a/mustardgap/job_actors.py
+++ b/mustardgap/job_actors.py
@@ -17,8 +17,8 @@
     attempt_of,
     disruption_of,
     is_job_pool,
-    keeps_lease,
     next_step,
+    should_renew_lease,
     stray_step,
     task_id,
 )
@@ -138,7 +138,11 @@
         for name in sorted(self._lease_candidates()):
             job = self.state.jobs_by_id[name]
             view = self._view(job)
-            if view.task is None or not keeps_lease(view) or view.now > view.task["lease_until"]:
+            if (
+                view.task is None
+                or not should_renew_lease(view)
+                or view.now > view.task["lease_until"]
+            ):
                 # Looked at from time to time, as a lease that runs out changes nothing polled.
                 self._look_at.add(name)
             elif self._renews(job, view.task):
--- a/mustardgap/job_queues.py
+++ b/mustardgap/job_queues.py
@@ -8,10 +8,10 @@
 from .usages import Size
 
 # A waiting job counts as one level more urgent after each such time, and after each pause.
-AGE_S = 120.0
+URGENCY_AGING_S = 120.0
 # A job that was taken off its worker once runs at least this long before it is taken off again, and
 # twice as long after each further time: so it ends, and still makes way most of the time.
-FIRST_RUN_S = 60.0
+MIN_RUN_AFTER_PAUSE_S = 60.0
 # A job that has waited this long for room that is nowhere gets a worker kept free for it.
 RESERVE_AFTER_S = 30.0
 RESERVATION_S = 120.0
@@ -19,8 +19,8 @@
 MAX_PAUSES_AT_ONCE = 32
 # Of the workers on which gentle jobs could make way, so many are compared for one job, and so many
 # are looked at in one pass; the next pass begins at other ones.
-MAX_COMPARED = 16
-MAX_LOOKED_AT = 1000
+MAX_CANDIDATES = 16
+MAX_EXAMINED = 1000
 
 
 class Waiting(NamedTuple):
@@ -37,12 +37,12 @@
 
     def level(self, now: float) -> int:
         """Its place in the queue: the urgency, raised by waiting and by having been paused."""
-        return max(0, math.floor(self.urgency - self.pauses - (now - self.since) / AGE_S))
+        return max(0, math.floor(self.urgency - self.pauses - (now - self.since) / URGENCY_AGING_S))
 
 
-def least_run_s(pauses: int) -> float:
+def min_run_s(pauses: int) -> float:
     """How long a job runs before it may be taken off its worker for the next time."""
-    return FIRST_RUN_S * 2.0 ** (min(pauses, 30) - 1) if pauses else 0.0
+    return MIN_RUN_AFTER_PAUSE_S * 2.0 ** (min(pauses, 30) - 1) if pauses else 0.0
 
 
 class Running(NamedTuple):
@@ -85,7 +85,7 @@
 class TeamQuotas(Protocol):
     """The part of the quotas that a pass asks."""
 
-    def keeps_from(self, job: Waiting) -> bool:
+    def must_yield(self, job: Waiting) -> bool:
         """Whether a job must leave its team's quota to a more urgent one."""
 
     def victims(self, job: Waiting, chosen: Iterable[str]) -> list[Running] | None:
@@ -123,9 +123,9 @@
         self.paused: list[Pause] = []
         self._visited: set[str] = set()
         self._blocked: list[Waiting] = []
-        self._helpless: list[Waiting] = []
+        self._not_preempting: list[Waiting] = []
         self._running_by_worker: dict[str, list[Running]] = {}
-        self._looks_left = MAX_LOOKED_AT
+        self._examinations_left = MAX_EXAMINED
 
     def decide(self, waiting: Iterable[Waiting]) -> list[Place | Pause]:
         """Decide for all waiting jobs.
@@ -145,14 +145,16 @@
 
     def _visit(self, job: Waiting) -> None:
         self._visited.add(job.job)
-        if self.quotas is not None and self.quotas.keeps_from(job):
+        if self.quotas is not None and self.quotas.must_yield(job):
             return
         has_worker = any(r.job == job.job for r in self.reserved.values())
         worker = None
         # Where a smaller and shorter job found no room a moment ago, there is none for this one,
         # unless a worker is kept for it.
-        if has_worker or not self._is_hopeless(job):
-            worker = self.rooms.best_fit(job.size, avoid=job.avoid | self._kept_from(job))
+        if has_worker or not self._is_known_blocked(job):
+            worker = self.rooms.best_fit(
+                job.size, avoid=job.avoid | self._reserved_for_earlier(job)
+            )
         if worker is not None:
             if self.may_place(job.job, worker):
                 self._place(job, worker)
@@ -164,10 +166,10 @@
             self._quota_victims(job, [])
         if not job.avoid:
             self._blocked.append(job)
-        if not has_worker and not self._make_way(job) and self.now - job.since > RESERVE_AFTER_S:
+        if not has_worker and not self._preempt(job) and self.now - job.since > RESERVE_AFTER_S:
             self._reserve(job)
 
-    def _is_hopeless(self, job: Waiting) -> bool:
+    def _is_known_blocked(self, job: Waiting) -> bool:
         return any(b.size.fits(job.size) and b.run_s <= job.run_s for b in self._blocked)
 
     def _place(self, job: Waiting, worker: str) -> None:
@@ -177,7 +179,7 @@
             if reservation.job == job.job:
                 del self.reserved[kept]
 
-    def _kept_from(self, job: Waiting) -> frozenset[str]:
+    def _reserved_for_earlier(self, job: Waiting) -> frozenset[str]:
         """The workers kept for jobs before this one, but for those it would leave in time.
 
         What is kept for a job further back in the queue is no reason for this one to wait: else
@@ -198,28 +200,28 @@
             if is_over or worker not in self.rooms.capacity_by_worker:
                 del self.reserved[worker]
 
-    def _make_way(self, job: Waiting) -> bool:
+    def _preempt(self, job: Waiting) -> bool:
         """Pause gentler jobs on the one worker where that disturbs the least."""
-        if len(self.paused) >= MAX_PAUSES_AT_ONCE or self._looks_left <= 0:
+        if len(self.paused) >= MAX_PAUSES_AT_ONCE or self._examinations_left <= 0:
             return False
-        if any(h.size.fits(job.size) and h.urgency <= job.urgency for h in self._helpless):
+        if any(h.size.fits(job.size) and h.urgency <= job.urgency for h in self._not_preempting):
             return False
         best: tuple[tuple[int, float], str, list[Running]] | None = None
         compared = 0
-        for worker in self._workers_by_turn():
+        for worker in self._rotated_workers():
             if worker in job.avoid or worker in self.reserved:
                 continue
             victims = self._victims(job, worker)
             if not victims:
                 continue
             compared += 1
-            if compared > MAX_COMPARED:
+            if compared > MAX_CANDIDATES:
                 break
             lost_s = sum(self.now - v.started for v in victims)
             if best is None or (len(victims), lost_s) < best[0]:
                 best = ((len(victims), lost_s), worker, victims)
-        if best is None and not job.avoid and self._looks_left > 0:
-            self._helpless.append(job)
+        if best is None and not job.avoid and self._examinations_left > 0:
+            self._not_preempting.append(job)
         if best is None:
             return False
         _, worker, victims = best
@@ -260,14 +262,14 @@
             chosen.append(victim)
         return chosen if job.size.fits(free) else None
 
-    def _workers_by_turn(self) -> Iterator[str]:
+    def _rotated_workers(self) -> Iterator[str]:
         """The workers, beginning at another one in each pass, while looks are left."""
         workers = list(self.rooms.free_by_worker)
         first = int(self.now * 997) % max(1, len(workers))
         for worker in [*workers[first:], *workers[:first]]:
-            if self._looks_left <= 0:
+            if self._examinations_left <= 0:
                 return
-            self._looks_left -= 1
+            self._examinations_left -= 1
             yield worker
 
     def _running_on(self, worker: str) -> list[Running]:
@@ -285,7 +287,7 @@
         if len(self.reserved) >= MAX_RESERVED:
             return
         best: tuple[float, str] | None = None
-        for worker in self._workers_by_turn():
+        for worker in self._rotated_workers():
             capacity = self.rooms.capacity_by_worker[worker]
             if worker in self.reserved or worker in job.avoid or not job.size.fits(capacity):
                 continue
--- a/mustardgap/jobs.py
+++ b/mustardgap/jobs.py
@@ -12,7 +12,7 @@
 # platform keeps tasks that have ended for minutes, so such a repeat can't run the job again.
 START_WINDOW_S = 60.0
 # A view must be this much younger than what it is to show, as both clocks may differ.
-SETTLE_S = 3.0
+CLOCK_SKEW_MARGIN_S = 3.0
 # How long a lease must be over before the attempt is given up: clocks differ, and a worker that
 # wakes needs a moment to find that its lease is over.
 LAPSE_GRACE_S = 2.0
@@ -92,9 +92,9 @@
     if view.task is None:
         return _without_task(view, attempt)
     if view.task["state"] not in LIVE_STATES:
-        return _after_task(view, view.task)
+        return _after_task_end(view, view.task)
     if view.now > view.task["lease_until"] + LAPSE_GRACE_S:
-        return _unknown(view, "the lease ran out")
+        return _give_up_unknown(view, "the lease ran out")
     return _with_task(view, view.task)
 
 
@@ -116,21 +116,21 @@
 
 def _without_task(view: JobView, attempt: AttemptState) -> JobStep | None:
     age_s = view.now - attempt["started"]
-    is_seen_late = view.read_at > attempt["started"] + START_WINDOW_S + SETTLE_S
+    is_conclusive = view.read_at > attempt["started"] + START_WINDOW_S + CLOCK_SKEW_MARGIN_S
     if view.job["phase"] != "placed" or age_s > START_WINDOW_S:
-        return _unknown(view, "the platform has no such task") if is_seen_late else None
-    if view.job["cancelled"] or not _takes_work(view):
+        return _give_up_unknown(view, "the platform has no such task") if is_conclusive else None
+    if view.job["cancelled"] or not _accepts_work(view):
         # Only the daemon that placed it knows for sure that nobody has started it.
         return Write("attempt_over", "moved") if view.placed_here else None
     return Start()
 
 
-def _takes_work(view: JobView) -> bool:
+def _accepts_work(view: JobView) -> bool:
     """Whether the host is still where the job was placed, and not on its way to another pool."""
     return view.is_job_pool and view.host is not None and view.host["phase"] == "in_service"
 
 
-def _after_task(view: JobView, task: TaskInfo) -> JobStep:
+def _after_task_end(view: JobView, task: TaskInfo) -> JobStep:
     state = task["state"]
     if state == "done":
         usage = task["usage"] if task["usage"]["cores"] > 0 else None
@@ -143,7 +143,7 @@
         return Write("attempt_over", "moved")
     if state == "failed" and view.job["spec"]["idempotent"] and is_up(view.worker):
         return Write("attempt_over", "failed")
-    return _unknown(view, f"{state}: {task['detail']}")
+    return _give_up_unknown(view, f"{state}: {task['detail']}")
 
 
 def is_up(worker: WorkerInfo | None) -> bool:
@@ -151,7 +151,7 @@
     return worker is not None and worker["state"] in ("up", "draining")
 
 
-def _unknown(view: JobView, why: str) -> JobStep:
+def _give_up_unknown(view: JobView, why: str) -> JobStep:
     """Give an attempt up of which nobody can say whether it ran to its end."""
     if view.job["spec"]["idempotent"] or view.job["cancelled"]:
         return Write("attempt_over", "unknown")
@@ -171,11 +171,11 @@
     if step is None:
         return Write("resume") if view.job["phase"] == "paused" else None
     if view.job["phase"] == "paused":
-        return _pausing(view, task, step)
+        return _pause_task(view, task, step)
     return Write("pause") if _must_leave(view) else None
 
 
-def _pausing(view: JobView, task: TaskInfo, step: TaskStep) -> JobStep | None:
+def _pause_task(view: JobView, task: TaskInfo, step: TaskStep) -> JobStep | None:
     """Give the warning that the profile asks for, at a lower pace if it allows that."""
     if view.in_epoch_s >= view.disruption["warning_s"]:
         return StepTask(step)
@@ -188,7 +188,7 @@
     return view.host is not None and view.host["phase"] not in ("in_service", "failed")
 
 
-def keeps_lease(view: JobView) -> bool:
+def should_renew_lease(view: JobView) -> bool:
     """Whether the lease of a task that runs is to be renewed.
 
     On a worker that is lost the task may have ended long ago: its lease is let run out, so that
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -9,7 +9,7 @@
 from .blames import WorkerFailures, count_failed_attempts, failures_by_worker
 from .duties import Duties
 from .host_actors import host_body
-from .job_queues import Pause, Place, Queue, Reservation, Running, Waiting, least_run_s
+from .job_queues import Pause, Place, Queue, Reservation, Running, Waiting, min_run_s
 from .jobs import attempt_of, disruption_of, is_job_pool, pause_step
 from .models import HostFacts, JobBody, JobSpec, JobState, TaskInfo, Usage
 from .operations import Operations
@@ -345,7 +345,7 @@
         allocation = self.rooms.allocation(name)
         started = job["attempts"][-1]["started"]
         step = pause_step(job, disruption_of(self.state, job))
-        has_run = self._now() - started >= least_run_s(_pauses(job))
+        has_run = self._now() - started >= min_run_s(_pauses(job))
         may_pause = step is not None and has_run and job["phase"] == "running"
         return Running(
             job=name,
--- a/mustardgap/queues.py
+++ b/mustardgap/queues.py
@@ -17,8 +17,8 @@
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 60.0
 RATE_WINDOW_S = 2.0
-UNKNOWN_S = 0.25
-IDLE_S = 0.5
+MIN_RATE_AGE_S = 0.25
+IDLE_RESET_S = 0.5
 
 
 class Rate:
@@ -101,7 +101,7 @@
         self.mean_hold_s = 0.0
         self._by_urgency: list[deque[Waiter]] = [deque() for _ in range(LEAST_URGENT + 1)]
         self._count = 0
-        self._busy = -IDLE_S
+        self._last_removal = -IDLE_RESET_S
 
     def __len__(self) -> int:
         return self._count
@@ -130,12 +130,12 @@
         :raises SlotRefused: MG1100 when its wait would outlast its patience.
         """
         now = self.clock.monotonic()
-        if not self._count and now > self._busy + IDLE_S:
+        if not self._count and now > self._last_removal + IDLE_RESET_S:
             # How few were served while nobody waited says nothing of how many can be.
             self.drain.restart()
         ahead = self.ahead(waiter.urgency)
-        if self._hopeless(waiter, ahead):
-            raise self.refused(status_codes.QUEUE_FULL)
+        if self._would_expire(waiter, ahead):
+            raise self.make_refusal(status_codes.QUEUE_FULL)
         self._by_urgency[waiter.urgency].append(waiter)
         self._count += 1
         metrics.queue_length.add(1, {"service": self.service})
@@ -148,7 +148,7 @@
         except ValueError:
             return
         self._count -= 1
-        self._busy = self.clock.monotonic()
+        self._last_removal = self.clock.monotonic()
         metrics.queue_length.add(-1, {"service": self.service})
 
     def shed(self) -> None:
@@ -159,24 +159,24 @@
         while self._count:
             waiter = self._tail()
             over = self._count > self.max_waiting
-            if not over and not self._hopeless(waiter, self._count - 1):
+            if not over and not self._would_expire(waiter, self._count - 1):
                 return
             self.remove(waiter)
             if not waiter.future.done():
-                waiter.future.set_exception(self.refused(status_codes.SHED))
+                waiter.future.set_exception(self.make_refusal(status_codes.SHED))
 
-    def served(self, waited_s: float) -> None:
+    def record_served(self, waited_s: float) -> None:
         """Count a request that got its slot; the time before the first one says nothing."""
         if not self.drain.counted:
             self.drain.restart()
         self.drain.add()
         metrics.queue_wait.record(waited_s, {"service": self.service})
 
-    def held(self, hold_s: float) -> None:
+    def record_hold(self, hold_s: float) -> None:
         """Take in how long a slot was held."""
         self.mean_hold_s += (hold_s - self.mean_hold_s) * 0.05
 
-    def refused(self, code: Code, detail: str = "") -> SlotRefused:
+    def make_refusal(self, code: Code, detail: str = "") -> SlotRefused:
         """Make a refusal that says when to come back.
 
         The time is what the present drain rate needs for all who wait and all who were refused
@@ -199,12 +199,12 @@
         longer, they just wait, which the profile bounds.
         """
         age_s = self.drain.age_s()
-        return age_s >= (UNKNOWN_S if self.drain.counted else RATE_WINDOW_S)
+        return age_s >= (MIN_RATE_AGE_S if self.drain.counted else RATE_WINDOW_S)
 
     def _tail(self) -> Waiter:
         return next(waiters[-1] for waiters in reversed(self._by_urgency) if waiters)
 
-    def _hopeless(self, waiter: Waiter, ahead: int) -> bool:
+    def _would_expire(self, waiter: Waiter, ahead: int) -> bool:
         now = self.clock.monotonic()
         turn = now + self.expected_wait_s(ahead)
         return turn > waiter.until or turn + self.mean_hold_s > waiter.deadline
--- a/mustardgap/quotas.py
+++ b/mustardgap/quotas.py
@@ -37,16 +37,18 @@
         self.state = state
         self.running_of_team = running_of_team
         self._wanted_by_team: dict[str, list[JobSpec]] = {}
-        self._helpless_by_team: dict[str, int] = {}
-        self._kept_by_team: Counter[str] = Counter()
+        self._failed_urgency_by_team: dict[str, int] = {}
+        self._claim_urgency_by_team: Counter[str] = Counter()
 
-    def keeps_from(self, job: Waiting) -> bool:
+    def must_yield(self, job: Waiting) -> bool:
         """Whether a job must not take the quota that is being freed for a more urgent one.
 
         What has made way waits again before the last of them has gone. It would be placed into the
         quota that it has just freed, and the urgent job would never have enough.
         """
-        return job.team in self._wanted_by_team and job.urgency > self._kept_by_team[job.team]
+        return (
+            job.team in self._wanted_by_team and job.urgency > self._claim_urgency_by_team[job.team]
+        )
 
     def victims(self, job: Waiting, chosen: Iterable[str]) -> list[Running] | None:
         """Choose the jobs to pause: the least urgent first, of these the latest started.
@@ -57,7 +59,9 @@
             team's gentle jobs don't make enough room.
         """
         team = self.state.value("team", job.team)
-        if team is None or job.urgency >= self._helpless_by_team.get(job.team, job.urgency + 1):
+        if team is None or job.urgency >= self._failed_urgency_by_team.get(
+            job.team, job.urgency + 1
+        ):
             return None
         held = self.state.held_by_team.get(job.team, Held())
         over = Excess(
@@ -74,10 +78,10 @@
             return None
         found = self._choose(job, over, set(chosen))
         if found is None:
-            self._helpless_by_team[job.team] = job.urgency
+            self._failed_urgency_by_team[job.team] = job.urgency
             return None
         self._wanted_by_team[job.team] = wanted
-        self._kept_by_team[job.team] = job.urgency
+        self._claim_urgency_by_team[job.team] = job.urgency
         return found
 
     def _choose(self, job: Waiting, over: Excess, chosen: set[str]) -> list[Running] | None:
--- a/mustardgap/slots.py
+++ b/mustardgap/slots.py
@@ -111,7 +111,7 @@
         now = self.timers.clock.monotonic()
         queue = self._queue(service)
         if deadline <= now:
-            raise queue.refused(status_codes.DEADLINE_BEFORE_RUN)
+            raise queue.make_refusal(status_codes.DEADLINE_BEFORE_RUN)
         exclude = self._exclude(service, exclude, queue)
         urgency = min(max(urgency, 0), LEAST_URGENT)
         if not queue.ahead(urgency):
@@ -119,7 +119,7 @@
             if slot is not None:
                 return self._count(slot, queue, 0.0)
         if self.way.stalled(service):
-            raise queue.refused(status_codes.NOT_CURRENT, "no lease of slots")
+            raise queue.make_refusal(status_codes.NOT_CURRENT, "no lease of slots")
         waiter = Waiter(
             urgency=urgency,
             until=min(deadline, now + self.max_wait_s(service)),
@@ -134,7 +134,7 @@
     def release(self, slot: Slot) -> None:
         """Give a slot back, once."""
         queue = self._queue(slot.service)
-        queue.held(self.timers.clock.monotonic() - slot.taken)
+        queue.record_hold(self.timers.clock.monotonic() - slot.taken)
         metrics.slots_used.add(-1, {"service": slot.service})
         self.way.give_back(slot)
         self.serve(slot.service)
@@ -211,7 +211,7 @@
         queue.remove(waiter)
         late = self.timers.clock.monotonic() >= waiter.deadline
         code = status_codes.DEADLINE_BEFORE_RUN if late else status_codes.QUEUE_FULL
-        waiter.future.set_exception(queue.refused(code))
+        waiter.future.set_exception(queue.make_refusal(code))
 
     def _sweep(self, service: str, queue: WaitQueue) -> None:
         if not len(queue):
@@ -220,7 +220,7 @@
             for waiter in list(queue):
                 queue.remove(waiter)
                 if not waiter.future.done():
-                    refusal = queue.refused(status_codes.NOT_CURRENT, "no lease of slots")
+                    refusal = queue.make_refusal(status_codes.NOT_CURRENT, "no lease of slots")
                     waiter.future.set_exception(refusal)
         queue.shed()
         self.serve(service)
@@ -228,13 +228,13 @@
     def _exclude(self, service: str, exclude: Collection[str], queue: WaitQueue) -> frozenset[str]:
         views = self.executors.candidates(service)
         if not views:
-            raise queue.refused(status_codes.NO_EXECUTOR)
+            raise queue.make_refusal(status_codes.NO_EXECUTOR)
         if all(view.executor in exclude for view in views):
             return frozenset()
         return frozenset(exclude)
 
     def _count(self, slot: Slot, queue: WaitQueue, waited_s: float) -> Slot:
-        queue.served(waited_s)
+        queue.record_served(waited_s)
         metrics.slots_used.add(1, {"service": slot.service})
         return slot
 
--- a/mustardgap/usages.py
+++ b/mustardgap/usages.py
@@ -5,11 +5,11 @@
 from .models import JobSpec, Usage
 
 WINDOW = 100
-LEAST_SAMPLES = 8
+MIN_SAMPLES = 8
 QUANTILE = 0.9
 MEMORY_QUANTILE = 0.95
-LEAST_RATIO = 0.1
-MOST_RATIO = 4.0
+MIN_RATIO = 0.1
+MAX_RATIO = 4.0
 
 
 class Kind(NamedTuple):
@@ -62,9 +62,9 @@
     given, a margin would be added to itself with each job.
     """
 
-    def __init__(self, *, window: int = WINDOW, least_samples: int = LEAST_SAMPLES) -> None:
+    def __init__(self, *, window: int = WINDOW, min_samples: int = MIN_SAMPLES) -> None:
         self.window = window
-        self.least_samples = least_samples
+        self.min_samples = min_samples
         self._ratios_by_kind: dict[Kind, dict[str, tuple[float, float, float]]] = {}
         self._quantiles_by_kind: dict[Kind, tuple[float, float, float]] = {}
 
@@ -102,7 +102,7 @@
         if known is not None:
             return known
         ratios = self._ratios_by_kind.get(kind, {})
-        if len(ratios) < self.least_samples:
+        if len(ratios) < self.min_samples:
             return (1.0, 1.0, 1.0)
         cores, memory, run = zip(*ratios.values(), strict=True)
         result = (
@@ -123,4 +123,4 @@
     # the room of a kind to nothing or blow it up beyond every worker.
     if stated <= 0 or used <= 0:
         return 1.0
-    return min(max(used / stated, LEAST_RATIO), MOST_RATIO)
+    return min(max(used / stated, MIN_RATIO), MAX_RATIO)
--- a/mustardgap/workers.py
+++ b/mustardgap/workers.py
@@ -19,7 +19,7 @@
 OnTasks = Callable[[list[TaskInfo]], None]
 
 
-class Views(Protocol):
+class PolledPlatform(Protocol):
     """The part of the platform that is polled."""
 
     async def workers(self, since: int = 0) -> WorkersPage:
@@ -37,7 +37,7 @@
     :param timers: the timer service.
     """
 
-    def __init__(self, *, platform: Views, settings: Settings, timers: Timers) -> None:
+    def __init__(self, *, platform: PolledPlatform, settings: Settings, timers: Timers) -> None:
         self.platform = platform
         self.settings = settings
         self.timers = timers
@@ -74,9 +74,9 @@
 
     async def run(self) -> None:
         """Poll until cancelled."""
-        await self._poll_logged()
+        await self._poll_and_log()
         unsubscribe = self.timers.subscribe(
-            "workers", self.settings.platform.poll_s, self._poll_logged
+            "workers", self.settings.platform.poll_s, self._poll_and_log
         )
         try:
             await asyncio.Event().wait()
@@ -96,7 +96,7 @@
                 callback(changed)
         return changed
 
-    async def _poll_logged(self) -> None:
+    async def _poll_and_log(self) -> None:
         try:
             await self.poll()
         except PlatformError as exc:
@@ -116,14 +116,14 @@
             # would look like none, and the view would stay as it was for good.
             self._workers_version = 0
             page = await self.platform.workers(0)
-        changed = self._take_workers(page, whole=self._workers_version == 0)
+        changed = self._apply_workers(page, complete=self._workers_version == 0)
         self._workers_version = page.version
         self._workers_read = started
         return changed
 
-    def _take_workers(self, page: WorkersPage, *, whole: bool) -> set[str]:
+    def _apply_workers(self, page: WorkersPage, *, complete: bool) -> set[str]:
         gone = set(page.gone) & set(self.by_id)
-        if whole:
+        if complete:
             gone |= set(self.by_id) - {worker["worker"] for worker in page.workers}
         changed = set(gone)
         for worker in gone:
@@ -143,20 +143,20 @@
         changed: set[str] = set()
         if self._tasks_version == 0:
             changed = self._forget(set(self.tasks_by_id) - {task["task"] for task in page.tasks})
-        changed |= self._take_tasks(page.tasks, started)
+        changed |= self._apply_tasks(page.tasks, started)
         self._tasks_version = page.version
         self._tasks_read = started
         self._forget({t for t, at in self._ended_at.items() if started - at > KEEP_ENDED_S})
         return changed
 
-    def _take_tasks(self, tasks: Iterable[TaskInfo], now: float) -> set[str]:
-        changed, news = set(), []
+    def _apply_tasks(self, tasks: Iterable[TaskInfo], now: float) -> set[str]:
+        changed, updated = set(), []
         for info in tasks:
             task, worker = info["task"], info["worker"]
             if self.tasks_by_id.get(task) == info:
                 continue
             self.tasks_by_id[task] = info
-            news.append(info)
+            updated.append(info)
             changed.add(worker)
             on_worker = self.task_ids_by_worker.setdefault(worker, set())
             if info["state"] in ENDED_STATES:
@@ -165,7 +165,7 @@
             else:
                 on_worker.add(task)
         for callback in self._task_callbacks:
-            callback(news)
+            callback(updated)
         return changed
 
     def _forget(self, tasks: set[str]) -> set[str]:
