--- a/features/jobs.feature
+++ b/features/jobs.feature
@@ -1,17 +1,17 @@
 Feature: Jobs run once, urgent ones first, and all of them end
   A job that is accepted ends with a numbered code, and what must not run twice doesn't.
 
-  Scenario Outline: An attempt under the trouble "<trouble>", idempotent: <idempotent>
+  Scenario Outline: An attempt under the fault "<fault>", idempotent: <idempotent>
     The submitter sees one result. Between the record of the placing and that of the end an answer
     is lost, a daemon dies, two act at once, or the lease runs out while its holder is paused. The
     attempt is fenced by its epoch, and started again only under its own id and within a window.
 
     Given jobs on a fake platform with two daemons
-    When jobs run under the trouble "<trouble>", idempotent: <idempotent>
+    When jobs run under the fault "<fault>", idempotent: <idempotent>
     Then jobs have ended with <code> after <runs> runs, none of them overlapping
 
     Examples:
-      | trouble                             | idempotent | code | runs |
+      | fault                               | idempotent | code | runs |
       | answers lost after their effect     | no         | 4006 | 1    |
       | calls that take effect later        | no         | 4006 | 1    |
       | both daemons act at once            | no         | 4006 | 1    |
@@ -120,17 +120,17 @@
     Given jobs and workers of random sizes
     Then jobs that are first are placed where they fit, whatever workers are reserved for later jobs
 
-  Scenario Outline: Leases of many jobs are renewed while <trouble>
+  Scenario Outline: Leases of many jobs are renewed while <fault>
     A fleet's running jobs would keep each daemon busy all the time, or lapse. Every daemon looked
     through all of them for the few that are its own; now it looks at those, and at the leases that
     come close to their end because their owner, though alive, doesn't renew them.
 
     Given jobs on a fake platform with two daemons
-    When jobs run on all workers while <trouble>
-    Then jobs have run once each, and daemons looked at <looks> for leases
+    When jobs run on all workers while <fault>
+    Then jobs have run once each, and daemons looked at <checks> for leases
 
     Examples:
-      | trouble                             | looks                |
+      | fault                               | checks               |
       | both daemons renew their share      | their own jobs alone |
       | one daemon's renewals never arrive  | all that are late    |
 
--- a/features/steps/jobs_quotas_steps.py
+++ b/features/steps/jobs_quotas_steps.py
@@ -13,10 +13,10 @@
 @when("jobs of a team fill its quota with {steps}, with {rest}, and an urgent one comes")
 def step_full(context, steps, rest):
     world = context.world
-    wanted = [] if steps == "nothing" else steps.split(",")
+    steps_allowed = [] if steps == "nothing" else steps.split(",")
     world.declare(
         team__small={"max_cores": QUOTA, "max_memory_gb": 500, "max_jobs": 500},
-        profile__mine=profile(wanted),
+        profile__mine=profile(steps_allowed),
     )
 
     async def run():
@@ -40,6 +40,6 @@
     assert bool(context.started) == (when_ == "within 8 s"), world.job("urgent")
     jobs = world.journal.state.jobs_by_id.values()
     assert {job["code"] for job in jobs} == {4006}, [j["job"] for j in jobs if j["code"] != 4006]
-    again = [job for job, tasks in world.platform.runs_by_job.items() if len(tasks) > 1]
-    assert len(again) == paused and all(job.startswith("own") for job in again), again
+    rerun = [job for job, tasks in world.platform.runs_by_job.items() if len(tasks) > 1]
+    assert len(rerun) == paused and all(job.startswith("own") for job in rerun), rerun
     assert not world.platform.broken, world.platform.broken
--- a/features/steps/jobs_steps.py
+++ b/features/steps/jobs_steps.py
@@ -37,22 +37,22 @@
     await until(world, lambda: world.job(JOB)["phase"] == "placed")
 
 
-async def before_start(world, trouble):
-    """Bring on a trouble between the placing and the start."""
+async def before_start(world, fault):
+    """Bring on a fault between the placing and the start."""
     daemons = world.daemons_by_name
-    if trouble.startswith("placer frozen"):
+    if fault.startswith("placer frozen"):
         frozen = owner(world, "placer")
         await until(world, lambda: world.job(JOB)["attempts"] or _freeze_at_start(frozen))
         await world.pass_time(12)
         return await frozen.thaw()
     for daemon in daemons.values():
         start = daemon.link.platform.start_task
-        daemon.link.__dict__["start_task"] = _never
+        daemon.link.__dict__["start_task"] = _fail_start
         daemon.start = start
     await until(world, lambda: world.job(JOB)["phase"] == "placed")
-    if trouble.startswith("placer killed"):
+    if fault.startswith("placer killed"):
         daemons.pop(owner(world, "placer").name).actors.close()
-    elif trouble.startswith("host drains"):
+    elif fault.startswith("host drains"):
         write_host(world, "draining", world.job(JOB)["attempts"][-1]["worker"])
     else:
         for name in list(daemons):
@@ -76,22 +76,22 @@
     daemon.link.run = stop_at
 
 
-async def _never(*args, **kwargs):
+async def _fail_start(*args, **kwargs):
     raise PlatformError(detail="not yet")
 
 
-async def while_running(world, trouble):
-    """Bring on a trouble while the job runs."""
+async def while_running(world, fault):
+    """Bring on a fault while the job runs."""
     await until(world, lambda: world.job(JOB)["phase"] == "running")
     worker = world.job(JOB)["attempts"][-1]["worker"]
     links = [daemon.link for daemon in world.daemons_by_name.values()]
-    if trouble.startswith("owner killed"):
+    if fault.startswith("owner killed"):
         world.daemons_by_name.pop(owner(world, f"job/{JOB}").name).actors.close()
-    elif trouble.startswith("log down"):
+    elif fault.startswith("log down"):
         world.journal.is_down = True
         await world.pass_time(20)
         world.journal.is_down = False
-    elif trouble.startswith("worker pauses"):
+    elif fault.startswith("worker pauses"):
         world.platform.paused.add(worker)
         for link in links:
             link.is_cut = True
@@ -100,9 +100,9 @@
             link.is_cut = False
         await world.pass_time(20)
         world.platform.paused.clear()
-    elif trouble.startswith("worker loses"):
+    elif fault.startswith("worker loses"):
         world.platform.power(worker, False)
-    elif trouble.startswith("all daemons away until"):
+    elif fault.startswith("all daemons away until"):
         for link in links:
             link.is_cut = True
         await world.pass_time(70)
@@ -111,26 +111,26 @@
             world.replace(name)
 
 
-@when('jobs run under the trouble "{trouble}", idempotent: {idempotent}')
-def step_run(context, trouble, idempotent):
+@when('jobs run under the fault "{fault}", idempotent: {idempotent}')
+def step_run(context, fault, idempotent):
     world = context.world
 
     async def run():
         for daemon in world.daemons_by_name.values():
-            if trouble.startswith("both"):
+            if fault.startswith("both"):
                 daemon.ranked_names = [daemon.name]
-            elif trouble.startswith("answers"):
+            elif fault.startswith("answers"):
                 daemon.link.lose = 4
-            elif trouble.startswith("calls"):
+            elif fault.startswith("calls"):
                 daemon.link.delay = 3
-        payload = {"fails": trouble == "it fails"}
+        payload = {"fails": fault == "it fails"}
         world.submit(
             JOB, idempotent=idempotent == "yes", run_s=8.0, profile="hard", payload=payload
         )
-        if trouble.endswith("before the start"):
-            await before_start(world, trouble)
-        elif "while" in trouble or "worker" in trouble or "forgot" in trouble:
-            await while_running(world, trouble)
+        if fault.endswith("before the start"):
+            await before_start(world, fault)
+        elif "while" in fault or "worker" in fault or "forgot" in fault:
+            await while_running(world, fault)
         for _ in range(100):
             await world.pass_time(2)
             for daemon in world.daemons_by_name.values():
@@ -195,11 +195,11 @@
     world.platform.failing.add(BATCH[0])
 
     async def run():
-        for turn in range(4):
+        for batch in range(4):
             for n in range(8):
                 kind = "gentle" if n % 2 else "hard"
-                world.submit(f"good{turn}-{n}", cores=2.0, run_s=2.0, profile=kind)
-            world.submit(f"bad{turn}", payload={"fails": True})
+                world.submit(f"good{batch}-{n}", cores=2.0, run_s=2.0, profile=kind)
+            world.submit(f"bad{batch}", payload={"fails": True})
             await world.pass_time(15)
         await until(world, lambda: all_ended(world))
 
@@ -211,10 +211,10 @@
     world = context.world
     codes = {(job["job"][:3], job["code"]) for job in jobs_of(world)}
     assert codes == {("goo", 4006), ("bad", 4002)}, codes
-    aside = [
+    set_aside = [
         h["host"] for h in world.journal.state.hosts_by_name.values() if h["phase"] == "set_aside"
     ]
-    assert aside == [BATCH[0]], aside
+    assert set_aside == [BATCH[0]], set_aside
 
 
 @when(
@@ -223,8 +223,8 @@
 )
 def step_urgent(context, steps, idempotent):
     world = context.world
-    wanted = [] if steps == "nothing" else steps.split(",")
-    world.declare(profile__mine=profile(wanted))
+    steps_allowed = [] if steps == "nothing" else steps.split(",")
+    world.declare(profile__mine=profile(steps_allowed))
 
     async def run():
         for n in range(CORES):
@@ -245,8 +245,8 @@
     world = context.world
     assert bool(context.started) == (when_ == "within 6 s"), world.job("urgent")
     assert {job["code"] for job in jobs_of(world)} == {4006}
-    again = [job for job, tasks in world.platform.runs_by_job.items() if len(tasks) > 1]
-    assert len(again) == (2 if runs == "again" else 0), again
+    rerun = [job for job, tasks in world.platform.runs_by_job.items() if len(tasks) > 1]
+    assert len(rerun) == (2 if runs == "again" else 0), rerun
     assert not world.platform.broken, world.platform.broken
 
 
@@ -257,9 +257,9 @@
     async def run():
         world.submit("long", urgency=9, run_s=300.0, cores=4.0)
         await world.pass_time(4)
-        for turn in range(1200):
+        for batch in range(1200):
             for n in range(2):
-                world.submit(f"u{turn}-{n}", urgency=0, cores=4.0, run_s=9.0, profile="hard")
+                world.submit(f"u{batch}-{n}", urgency=0, cores=4.0, run_s=9.0, profile="hard")
             await world.pass_time(3, step=1.0)
             if world.job("long")["phase"] == "ended":
                 break
@@ -293,11 +293,11 @@
     cluster.wait("runs", lambda: len(cluster.platform.truth()["jobs"]) == 5, timeout_s=60)
     context.processes.kill("e1")
     call(context, "POST", "/v1/jobs/cancel", {"jobs": ["p0"]})
-    cluster.wait("ends", lambda: all_over(context), timeout_s=90)
+    cluster.wait("ends", lambda: have_all_ended(context), timeout_s=90)
     time.sleep(1)
 
 
-def all_over(context):
+def have_all_ended(context):
     """Whether all jobs have ended."""
     jobs = call(context, "GET", "/v1/jobs")["items"].values()
     return all(job["phase"] == "ended" for job in jobs)
--- a/features/steps/workers_steps.py
+++ b/features/steps/workers_steps.py
@@ -14,7 +14,7 @@
 from tools.actor_platforms import HandClock
 
 
-class Pages:
+class FakePlatform:
     """Answers with the pages set, and with empty ones of the same version afterwards."""
 
     def __init__(self):
@@ -45,16 +45,16 @@
 
 @given("a workers' view that has read two workers and a task")
 def step_given(context):
-    context.clock, context.pages, context.changed = HandClock(), Pages(), set()
+    context.clock, context.platform, context.changed = HandClock(), FakePlatform(), set()
     settings = {"host": "h", "data_center": "d", "platform": {"address": "127.0.0.1:1"}}
     context.workers = Workers(
-        platform=context.pages,
+        platform=context.platform,
         settings=msgspec.convert(settings, Settings),
         timers=Timers(clock=context.clock),
     )
     assert context.workers.age_s() == float("inf")
-    context.pages.pages["workers"] = [WorkersPage(5, [worker("w1"), worker("w2")], [])]
-    context.pages.pages["tasks"] = [TasksPage(5, [task()])]
+    context.platform.pages["workers"] = [WorkersPage(5, [worker("w1"), worker("w2")], [])]
+    context.platform.pages["tasks"] = [TasksPage(5, [task()])]
     asyncio.run(context.workers.poll())
     context.workers.on_change(context.changed.update)
 
@@ -74,10 +74,10 @@
 
 @when('the workers\' platform shows "{event}"')
 def step_when(context, event):
-    context.pages.pages.update({k: list(v) for k, v in EVENTS.get(event, {}).items()})
+    context.platform.pages.update({k: list(v) for k, v in EVENTS.get(event, {}).items()})
     context.clock.now += 7
     if "outage" in event:
-        context.pages.down = {"tasks"} if "alone" in event else {"workers", "tasks"}
+        context.platform.down = {"tasks"} if "alone" in event else {"workers", "tasks"}
     with contextlib.suppress(PlatformError):
         asyncio.run(context.workers.poll())
     if "ago" in event:
