--- a/mustardgap/job_queues.py
+++ b/mustardgap/job_queues.py
@@ -1,4 +1,4 @@
-"""Which waiting job goes where, and which gentle jobs make way: pure decisions on the queue."""
+"""Decides which waiting job goes to which worker, and which less urgent jobs are paused for it."""
 
 import math
 from collections.abc import Callable, Iterable, Iterator
@@ -7,24 +7,24 @@
 from .rooms import Rooms
 from .usages import Size
 
-# A waiting job counts as one level more urgent after each such time, and after each pause.
+# A waiting job counts as one level more urgent per this time waited, and per pause.
 URGENCY_AGING_S = 120.0
-# A job that was taken off its worker once runs at least this long before it is taken off again, and
-# twice as long after each further time: so it ends, and still makes way most of the time.
+# A job that was paused once runs at least this long before it is paused again, and twice as long
+# after each further pause, so that it ends but can still be paused most of the time.
 MIN_RUN_AFTER_PAUSE_S = 60.0
-# A job that has waited this long for room that is nowhere gets a worker kept free for it.
+# A job that has waited this long and fits on no worker gets a worker reserved for it.
 RESERVE_AFTER_S = 30.0
 RESERVATION_S = 120.0
 MAX_RESERVED = 8
 MAX_PAUSES_AT_ONCE = 32
-# Of the workers on which gentle jobs could make way, so many are compared for one job, and so many
-# are looked at in one pass; the next pass begins at other ones.
+# At most so many workers on which less urgent jobs could be paused are compared for one job, and so
+# many workers are examined in one pass; the next pass begins at another one.
 MAX_CANDIDATES = 16
 MAX_EXAMINED = 1000
 
 
 class Waiting(NamedTuple):
-    """A job that waits; ``since`` is when it began to."""
+    """A waiting job; ``since`` is when its wait began."""
 
     job: str
     urgency: int
@@ -36,17 +36,17 @@
     team: str = ""
 
     def level(self, now: float) -> int:
-        """Its place in the queue: the urgency, raised by waiting and by having been paused."""
+        """The job's effective urgency, raised by waiting and by pauses; 0 is the most urgent."""
         return max(0, math.floor(self.urgency - self.pauses - (now - self.since) / URGENCY_AGING_S))
 
 
 def min_run_s(pauses: int) -> float:
-    """How long a job runs before it may be taken off its worker for the next time."""
+    """How long a job runs at least before it may be paused for the next time."""
     return MIN_RUN_AFTER_PAUSE_S * 2.0 ** (min(pauses, 30) - 1) if pauses else 0.0
 
 
 class Running(NamedTuple):
-    """A job that holds room; ``may_pause`` says whether it may be taken off its worker."""
+    """A job that holds capacity; ``may_pause`` says whether it may be taken off its worker."""
 
     job: str
     worker: str
@@ -59,7 +59,7 @@
 
 
 class Reservation(NamedTuple):
-    """A worker kept for a job that waits, until ``expires``; it is expected free at ``free_at``."""
+    """A worker reserved for a waiting job until ``expires``; expected to be free at ``free_at``."""
 
     job: str
     free_at: float
@@ -75,7 +75,7 @@
 
 
 class Pause(NamedTuple):
-    """Take a gentle job off its worker for another one."""
+    """Take a job off its worker for the more urgent job ``by``."""
 
     job: str
     worker: str
@@ -83,10 +83,10 @@
 
 
 class TeamQuotas(Protocol):
-    """The part of the quotas that a pass asks."""
+    """The part of the quotas that a pass over the queue uses."""
 
     def must_yield(self, job: Waiting) -> bool:
-        """Whether a job must leave its team's quota to a more urgent one."""
+        """Whether a job must leave its team's quota to a more urgent job."""
 
     def victims(self, job: Waiting, chosen: Iterable[str]) -> list[Running] | None:
         """Choose which of a team's jobs to pause for its quota."""
@@ -95,12 +95,12 @@
 class Queue:
     """One pass over the waiting jobs, the most urgent first.
 
-    :param rooms: free room; what is placed is taken from it, and given back by ``undo``.
-    :param running_by_worker: the jobs that hold room on a worker.
-    :param reserved: reservations by worker; changed in place, they outlive the pass.
+    :param rooms: free capacity; ``decide`` allocates what it places and releases it at the end.
+    :param running_by_worker: returns the jobs that hold capacity on a worker.
+    :param reserved: reservations by worker; changed in place, as they outlive the pass.
     :param may_place: tells whether the fold would accept a placement now.
     :param now: seconds since the epoch.
-    :param quotas: which of a team's jobs make way for its quota; nothing does when None.
+    :param quotas: chooses a team's jobs to pause for its quota; None to pause none.
     """
 
     def __init__(
@@ -149,8 +149,8 @@
             return
         has_worker = any(r.job == job.job for r in self.reserved.values())
         worker = None
-        # Where a smaller and shorter job found no room a moment ago, there is none for this one,
-        # unless a worker is kept for it.
+        # If a smaller and shorter job found no worker in this pass, neither does this one, unless
+        # a worker is reserved for it.
         if has_worker or not self._is_known_blocked(job):
             worker = self.rooms.best_fit(
                 job.size, avoid=job.avoid | self._reserved_for_earlier(job)
@@ -162,7 +162,7 @@
                 self._pause(job, self._quota_victims(job, []) or [])
             return
         if has_worker:
-            # Asked for what it keeps from gentler jobs while those that make way are leaving.
+            # Keeps the quota claimed against less urgent jobs while the paused ones are leaving.
             self._quota_victims(job, [])
         if not job.avoid:
             self._blocked.append(job)
@@ -180,10 +180,10 @@
                 del self.reserved[kept]
 
     def _reserved_for_earlier(self, job: Waiting) -> frozenset[str]:
-        """The workers kept for jobs before this one, but for those it would leave in time.
+        """The workers reserved for earlier jobs, except those that this job would leave in time.
 
-        What is kept for a job further back in the queue is no reason for this one to wait: else
-        all workers could stand empty, each kept for a job that waits for its turn.
+        Reservations for jobs further back in the queue don't block this one: otherwise all workers
+        could stay empty, each reserved for a job that waits for its turn.
         """
         ends = self.now + job.run_s
         return frozenset(
@@ -201,7 +201,7 @@
                 del self.reserved[worker]
 
     def _preempt(self, job: Waiting) -> bool:
-        """Pause gentler jobs on the one worker where that disturbs the least."""
+        """Pause the fewest less urgent jobs on one worker, of these the least run time lost."""
         if len(self.paused) >= MAX_PAUSES_AT_ONCE or self._examinations_left <= 0:
             return False
         if any(h.size.fits(job.size) and h.urgency <= job.urgency for h in self._not_preempting):
@@ -235,7 +235,7 @@
         return True
 
     def _quota_victims(self, job: Waiting, chosen: list[Running]) -> list[Running] | None:
-        """The jobs to pause for the team's quota, beside those chosen; None when it won't do."""
+        """The jobs to pause for the team's quota besides those chosen; None if none would help."""
         if self.quotas is None or len(self.paused) >= MAX_PAUSES_AT_ONCE:
             return None
         names = [*(pause.job for pause in self.paused), *(v.job for v in chosen)]
@@ -245,7 +245,10 @@
         self.paused += [Pause(victim.job, victim.worker, job.job) for victim in victims]
 
     def _victims(self, job: Waiting, worker: str) -> list[Running] | None:
-        """The jobs to pause on a worker: the least urgent first, of these the latest started."""
+        """The jobs to pause on a worker: the least urgent first, of these the latest started.
+
+        :return: the jobs; None if pausing frees too little.
+        """
         free = self.rooms.free_by_worker[worker]
         running = self._running_on(worker)
         for leaving in running:
@@ -263,7 +266,7 @@
         return chosen if job.size.fits(free) else None
 
     def _rotated_workers(self) -> Iterator[str]:
-        """The workers, beginning at another one in each pass, while looks are left."""
+        """The workers, beginning at another one in each pass, up to the limit of the pass."""
         workers = list(self.rooms.free_by_worker)
         first = int(self.now * 997) % max(1, len(workers))
         for worker in [*workers[first:], *workers[:first]]:
@@ -279,10 +282,10 @@
         return running
 
     def _reserve(self, job: Waiting) -> None:
-        """Keep the worker for a job on which its room comes free first.
+        """Reserve the worker on which the job will fit first.
 
-        Otherwise small jobs would take every bit of room as it comes free, and a large one would
-        wait for ever.
+        Otherwise small jobs would take all capacity as it is freed, and a large one would wait
+        forever.
         """
         if len(self.reserved) >= MAX_RESERVED:
             return
--- a/mustardgap/jobs.py
+++ b/mustardgap/jobs.py
@@ -1,4 +1,4 @@
-"""What happens next with one job: pure decisions from the log, the task and the host."""
+"""Decides the next step of one job from the log, its task and its host, without side effects."""
 
 from typing import Any, NamedTuple
 
@@ -8,20 +8,20 @@
 from .states import holds_room
 from .status_codes import Code
 
-# Within this time from its placing an attempt is started, or started again after a lost answer; the
-# platform keeps tasks that have ended for minutes, so such a repeat can't run the job again.
+# An attempt is started, or started again after a lost answer, only within this time of its
+# placement. The platform keeps ended tasks for minutes, so a repeat can't run the job twice.
 START_WINDOW_S = 60.0
-# A view must be this much younger than what it is to show, as both clocks may differ.
+# A view of tasks must be this much newer than what it is to prove, as the clocks may differ.
 CLOCK_SKEW_MARGIN_S = 3.0
-# How long a lease must be over before the attempt is given up: clocks differ, and a worker that
-# wakes needs a moment to find that its lease is over.
+# An attempt is given up when its lease has been over this long: clocks differ, and a worker that
+# resumes after a pause needs a moment to notice that its lease is over.
 LAPSE_GRACE_S = 2.0
 LIVE_STATES = frozenset({"running", "throttled"})
 NO_DISRUPTION = Disruption(steps=[], warning_s=0.0, drain_s=0.0, idempotent=False)
 
 
 class Write(NamedTuple):
-    """Write a step of the job."""
+    """Write a step of the job to the log."""
 
     step: str
     result: str = ""
@@ -30,11 +30,11 @@
 
 
 class Start(NamedTuple):
-    """Start the task of the attempt that was placed."""
+    """Start the task of the placed attempt."""
 
 
 class StepTask(NamedTuple):
-    """Step the task that runs."""
+    """Apply a step to the running task."""
 
     step: TaskStep
 
@@ -43,11 +43,11 @@
 
 
 class JobView(NamedTuple):
-    """All that a decision on one job reads.
+    """The inputs of a decision on one job.
 
-    ``now`` is the time since the epoch, ``read_at`` that of the view of tasks. ``placed_here`` says
-    that this daemon wrote the attempt and hasn't asked the platform to start it; ``in_epoch_s`` is
-    for how long the job has been in its epoch.
+    ``now`` and ``read_at``, when the tasks were read, are seconds since the epoch. ``placed_here``
+    says that this daemon wrote the attempt and hasn't asked the platform to start it;
+    ``in_epoch_s`` is how long the job has been in its epoch.
     """
 
     job: JobState
@@ -68,14 +68,15 @@
 
 
 def attempt_of(job: JobState) -> AttemptState | None:
-    """The attempt that runs, or None."""
+    """The current attempt of a job, None if it holds no capacity."""
     return job["attempts"][-1] if holds_room(job) else None
 
 
 def pause_step(job: JobState, disruption: Disruption) -> TaskStep | None:
-    """The step that takes a job off its worker, or None when it has to be left there.
+    """The step that takes a job off its worker, or None if it must stay there.
 
-    A stop throws away what the job has done, and it begins again: that is a second run.
+    A stop discards the job's progress and is followed by a second run, so the job must be
+    idempotent.
     """
     if "checkpoint" in disruption["steps"]:
         return "checkpoint"
@@ -85,7 +86,7 @@
 
 
 def next_step(view: JobView) -> JobStep | None:
-    """Decide the next step of a job that holds room on a worker; None for none."""
+    """Decide the next step of a job that holds capacity on a worker; None for none."""
     attempt = attempt_of(view.job)
     if attempt is None:
         return None
@@ -101,11 +102,11 @@
 def stray_step(
     job: JobState, task: TaskInfo | None, worker: WorkerInfo | None, now: float
 ) -> StepTask | None:
-    """Decide on what still runs although its job has ended on the log; None for nothing.
+    """Decide the step for a task that runs although its job has ended on the log; None for none.
 
-    A start that was held up can take effect after the job was cancelled. Once
-    its lease is over the worker stops the task by itself. The task of a job that is done may be
-    shown as running for a moment and is left alone.
+    A delayed start can take effect after the job was cancelled. Once its lease is over the worker
+    stops the task by itself. The task of a job that is done may be shown as running for a moment
+    and is left alone.
     """
     if task is None or task["state"] not in LIVE_STATES or not is_up(worker):
         return None
@@ -120,13 +121,13 @@
     if view.job["phase"] != "placed" or age_s > START_WINDOW_S:
         return _give_up_unknown(view, "the platform has no such task") if is_conclusive else None
     if view.job["cancelled"] or not _accepts_work(view):
-        # Only the daemon that placed it knows for sure that nobody has started it.
+        # Only the daemon that placed the attempt knows for sure that it wasn't started.
         return Write("attempt_over", "moved") if view.placed_here else None
     return Start()
 
 
 def _accepts_work(view: JobView) -> bool:
-    """Whether the host is still where the job was placed, and not on its way to another pool."""
+    """Whether the host is still in service in a pool for jobs."""
     return view.is_job_pool and view.host is not None and view.host["phase"] == "in_service"
 
 
@@ -147,12 +148,12 @@
 
 
 def is_up(worker: WorkerInfo | None) -> bool:
-    """Whether a worker runs; what ends on one that doesn't is no fault of the job's."""
+    """Whether a worker is up; a task that ends on one that isn't doesn't count as failed."""
     return worker is not None and worker["state"] in ("up", "draining")
 
 
 def _give_up_unknown(view: JobView, why: str) -> JobStep:
-    """Give an attempt up of which nobody can say whether it ran to its end."""
+    """Give up an attempt of which it is unknown whether it ran to its end."""
     if view.job["spec"]["idempotent"] or view.job["cancelled"]:
         return Write("attempt_over", "unknown")
     return Write("end", why, status_codes.JOB_ATTEMPT_UNKNOWN.number)
@@ -176,7 +177,7 @@
 
 
 def _pause_task(view: JobView, task: TaskInfo, step: TaskStep) -> JobStep | None:
-    """Give the warning that the profile asks for, at a lower pace if it allows that."""
+    """Wait for the profile's warning time, throttled if it allows that, then take the step."""
     if view.in_epoch_s >= view.disruption["warning_s"]:
         return StepTask(step)
     if "throttle" in view.disruption["steps"] and task["state"] == "running":
@@ -189,10 +190,10 @@
 
 
 def should_renew_lease(view: JobView) -> bool:
-    """Whether the lease of a task that runs is to be renewed.
+    """Whether to renew the lease of a running task.
 
-    On a worker that is lost the task may have ended long ago: its lease is let run out, so that
-    the job can go on elsewhere.
+    On a lost worker the task may have ended long ago: its lease is left to expire, so that the job
+    can run elsewhere.
     """
     if view.task is None or view.task["state"] not in LIVE_STATES:
         return False
@@ -205,7 +206,7 @@
 
 
 def disruption_of(state: Any, job: JobState) -> Disruption:
-    """How a job may be disrupted; one without a profile is left alone."""
+    """How a job may be disrupted; without a profile it may not be."""
     profile = state.value("profile", job["spec"].get("profile", ""))
     return NO_DISRUPTION if profile is None else profile["disruption"]
 
@@ -213,8 +214,8 @@
 def is_job_pool(state: Any, pool: str) -> bool:
     """Whether jobs may be placed in a pool: it is declared and serves no service.
 
-    Not in the spare pool: its hosts are the buffer that all services share, and one with a job on
-    it would come too late when a host has failed.
+    The spare pool is excluded: its hosts are the buffer that all services share, and one with a job
+    on it would be available too late when another host has failed.
     """
     value = state.value("pool", pool)
     return pool != "" and value is not None and value["service"] == ""
--- a/mustardgap/queues.py
+++ b/mustardgap/queues.py
@@ -1,4 +1,4 @@
-"""Waiting for a slot: bounded by time, most urgent first, hopeless requests told at once."""
+"""Waiting for a slot: bounded by time, most urgent first; refuses what would expire at once."""
 
 import asyncio
 import math
@@ -22,10 +22,10 @@
 
 
 class Rate:
-    """An exponentially decaying rate of events a second.
+    """An exponentially decaying rate of events per second.
 
     :param clock: the clocks to read.
-    :param window_s: the decay's time constant.
+    :param window_s: the time constant of the decay in seconds.
     """
 
     def __init__(self, *, clock: Clock, window_s: float = RATE_WINDOW_S) -> None:
@@ -36,7 +36,7 @@
         self._started = self._at = clock.monotonic()
 
     def restart(self) -> None:
-        """Forget what was counted."""
+        """Reset the count."""
         self.counted = 0
         self._count = 0.0
         self._started = self._at = self.clock.monotonic()
@@ -48,11 +48,11 @@
         self._count += 1.0
 
     def age_s(self) -> float:
-        """Seconds over which was counted."""
+        """Seconds since the count was started or reset."""
         return self.clock.monotonic() - self._started
 
     def per_s(self) -> float:
-        """Events a second, corrected for the time before the start."""
+        """Events per second, corrected for the time before the count was started."""
         self._decay()
         age_s = max(self.age_s(), 0.01)
         return self._count / (self.window_s * (1.0 - math.exp(-age_s / self.window_s)))
@@ -64,13 +64,13 @@
 
 
 class Waiter:
-    """One request that waits for a slot.
+    """A request that waits for a slot.
 
     :param urgency: 0 for the most urgent to 9 for the least.
-    :param until: the monotonic time to which it may wait.
+    :param until: the monotonic time until which it may wait.
     :param deadline: the monotonic time at which its caller gives up.
     :param exclude: executors it must not go to.
-    :param since: the monotonic time at which it came.
+    :param since: the monotonic time at which it arrived.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
 
     :param service: the service.
     :param clock: the clocks to read.
-    :param max_waiting: the most that may wait.
+    :param max_waiting: the maximum number of waiting requests.
     """
 
     def __init__(self, *, service: str, clock: Clock, max_waiting: int) -> None:
@@ -111,27 +111,27 @@
             yield from waiters
 
     def head(self) -> Waiter | None:
-        """The waiter whose turn is next."""
+        """The waiter to serve next."""
         return next(iter(self), None)
 
     def ahead(self, urgency: int) -> int:
-        """How many would be served before a newcomer of an urgency."""
+        """How many would be served before a new request of an urgency."""
         return sum(len(waiters) for waiters in self._by_urgency[: urgency + 1])
 
     def expected_wait_s(self, ahead: int) -> float:
-        """Seconds until one with so many ahead has its turn, by the recent drain rate."""
+        """Seconds until a request with so many ahead is served, by the recent drain rate."""
         if ahead <= 0 or not self._knows_rate():
             return 0.0
         return ahead / max(self.drain.per_s(), 1.0 / self.drain.age_s())
 
     def push(self, waiter: Waiter) -> None:
-        """Let a request wait.
+        """Add a request to the queue.
 
-        :raises SlotRefused: MG1100 when its wait would outlast its patience.
+        :raises SlotRefused: MG1100 if it would wait longer than it may.
         """
         now = self.clock.monotonic()
         if not self._count and now > self._last_removal + IDLE_RESET_S:
-            # How few were served while nobody waited says nothing of how many can be.
+            # While nobody waits, the drain rate shows the demand, not the capacity.
             self.drain.restart()
         ahead = self.ahead(waiter.urgency)
         if self._would_expire(waiter, ahead):
@@ -142,7 +142,7 @@
         self.shed()
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a waiter out, served or not."""
+        """Remove a waiter, served or not."""
         try:
             self._by_urgency[waiter.urgency].remove(waiter)
         except ValueError:
@@ -152,9 +152,9 @@
         metrics.queue_length.add(-1, {"service": self.service})
 
     def shed(self) -> None:
-        """Refuse from the tail, the least urgent and latest first, those who would wait in vain.
+        """Refuse what would expire or exceeds the maximum, the least urgent and latest first.
 
-        Whoever is refused now can go elsewhere; held to the deadline it could not.
+        A caller refused now can go elsewhere; one kept until its deadline couldn't.
         """
         while self._count:
             waiter = self._tail()
@@ -166,22 +166,22 @@
                 waiter.future.set_exception(self.make_refusal(status_codes.SHED))
 
     def record_served(self, waited_s: float) -> None:
-        """Count a request that got its slot; the time before the first one says nothing."""
+        """Count a request that got its slot; the rate is measured from the first one."""
         if not self.drain.counted:
             self.drain.restart()
         self.drain.add()
         metrics.queue_wait.record(waited_s, {"service": self.service})
 
     def record_hold(self, hold_s: float) -> None:
-        """Take in how long a slot was held."""
+        """Update the mean time for which slots are held."""
         self.mean_hold_s += (hold_s - self.mean_hold_s) * 0.05
 
     def make_refusal(self, code: Code, detail: str = "") -> SlotRefused:
-        """Make a refusal that says when to come back.
+        """Make a refusal that says when to retry.
 
-        The time is what the present drain rate needs for all who wait and all who were refused
-        lately, spread by half on either side: were it the same for all, the refused would come
-        back together and be refused again.
+        The time is what the current drain rate needs for all waiting and recently refused requests,
+        with a jitter of half on either side: with the same time for all, the refused callers would
+        retry together and be refused again.
         """
         self.refusals.add()
         rate = max(self.drain.per_s(), 0.1) if self._knows_rate() else math.inf
@@ -191,12 +191,12 @@
         return SlotRefused(outcome=outcome)
 
     def _knows_rate(self) -> bool:
-        """Whether the drain rate says anything yet.
+        """Whether the drain rate is measured yet.
 
-        Right after a start, or when a service is new, the slots are still on their way: none
-        served in a second doesn't mean that none will be, and callers were sent away for a minute
-        by a host that could serve them a moment later. Until something was served, and a moment
-        longer, they just wait, which the profile bounds.
+        Right after a start, or for a new service, slots are still being assigned: callers were told
+        to retry in a minute by a host that could serve them a moment later. The rate is therefore
+        unknown until ``MIN_RATE_AGE_S`` after the first request is served, or for
+        ``RATE_WINDOW_S`` if none is; the profile bounds the wait.
         """
         age_s = self.drain.age_s()
         return age_s >= (MIN_RATE_AGE_S if self.drain.counted else RATE_WINDOW_S)
--- a/mustardgap/quotas.py
+++ b/mustardgap/quotas.py
@@ -1,4 +1,4 @@
-"""Which of a team's own gentle jobs make way for its urgent one when its quota is full."""
+"""Chooses which of a team's jobs are paused for a more urgent one when its quota is full."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -10,27 +10,27 @@
 
 
 class Excess(NamedTuple):
-    """By how many thousandths of cores and memory a quota is passed; below 0 there is room."""
+    """What exceeds a quota in thousandths of a core and of a GB; negative while some is left."""
 
     cores: int
     memory: int
 
     @property
     def is_over(self) -> bool:
-        """Whether the quota is passed."""
+        """Whether the quota is exceeded."""
         return self.cores > 0 or self.memory > 0
 
     def plus(self, spec: JobSpec, sign: int = 1) -> "Excess":
-        """The excess with a job more, or one less."""
+        """The excess with a job added, or removed with ``sign=-1``."""
         cores, memory = thousandths(spec)
         return Excess(self.cores + sign * cores, self.memory + sign * memory)
 
 
 class Quotas:
-    """The quotas' side of one pass over the queue.
+    """The decisions on quotas in one pass over the queue.
 
     :param state: the folded state.
-    :param running_of_team: the jobs of a team that hold room.
+    :param running_of_team: returns the jobs of a team that hold capacity.
     """
 
     def __init__(self, *, state: Any, running_of_team: Callable[[str], list[Running]]) -> None:
@@ -43,8 +43,8 @@
     def must_yield(self, job: Waiting) -> bool:
         """Whether a job must not take the quota that is being freed for a more urgent one.
 
-        What has made way waits again before the last of them has gone. It would be placed into the
-        quota that it has just freed, and the urgent job would never have enough.
+        A paused job is back in the queue before the last of them has left. It would be placed into
+        the quota that it has just freed, and the urgent job would never have enough.
         """
         return (
             job.team in self._wanted_by_team and job.urgency > self._claim_urgency_by_team[job.team]
@@ -54,9 +54,9 @@
         """Choose the jobs to pause: the least urgent first, of these the latest started.
 
         :param job: the job that waits for its team's quota.
-        :param chosen: the jobs that this pass takes off their workers already.
-        :return: the jobs, none when enough are leaving; None when the quota isn't full, or its
-            team's gentle jobs don't make enough room.
+        :param chosen: the jobs that this pass already takes off their workers.
+        :return: the jobs, empty if enough are leaving; None if the quota isn't full, or pausing
+            the team's less urgent jobs doesn't free enough of it.
         """
         team = self.state.value("team", job.team)
         if team is None or job.urgency >= self._failed_urgency_by_team.get(
@@ -69,7 +69,7 @@
             held.memory - round(team["max_memory_gb"] * 1000),
         )
         if over.is_over:
-            # The quota was lowered. All that is beyond it would be paused for this one job.
+            # The quota was lowered: all jobs beyond it would be paused for this one.
             return None
         wanted = [*self._wanted_by_team.get(job.team, ()), self._spec(job.job)]
         for spec in wanted:
--- a/mustardgap/usages.py
+++ b/mustardgap/usages.py
@@ -1,4 +1,4 @@
-"""Sizes and run times of jobs as learned from what earlier jobs of the same kind used."""
+"""Sizes and run times of jobs, learned from the usage of earlier jobs of the same kind."""
 
 from typing import NamedTuple
 
@@ -20,14 +20,14 @@
 
 
 class Size(NamedTuple):
-    """Room on a worker; memory in GB."""
+    """Capacity of a worker, or a part of it; memory in GB."""
 
     cores: float
     memory_gb: float
     accelerators: int
 
     def fits(self, room: "Size") -> bool:
-        """Tell whether this size fits into the room."""
+        """Whether this size fits into the room."""
         return (
             self.cores <= room.cores + 1e-9
             and self.memory_gb <= room.memory_gb + 1e-9
@@ -35,7 +35,7 @@
         )
 
     def plus(self, other: "Size", times: int = 1) -> "Size":
-        """Add another size, or take it off with ``times=-1``."""
+        """Add another size, or subtract it with ``times=-1``."""
         return Size(
             self.cores + times * other.cores,
             self.memory_gb + times * other.memory_gb,
@@ -44,7 +44,7 @@
 
 
 def kind_of(spec: JobSpec) -> Kind:
-    """Name the kind of a job."""
+    """The kind of a job."""
     return Kind(spec["team"], spec.get("profile", ""))
 
 
@@ -54,12 +54,12 @@
 
 
 class Usages:
-    """Corrects declared sizes by a high quantile of used over declared, for each kind of job.
+    """Corrects declared sizes by a high quantile of used over declared sizes per kind of job.
 
     The quantile is exact over the last ``WINDOW`` jobs: a mean would let half of them run out of
-    memory. Memory gets a higher one, since a task that outgrows it dies, while one that outgrows
-    its cores is only slower. There is no margin on top: where a platform reports as used what was
-    given, a margin would be added to itself with each job.
+    memory. Memory gets a higher one, since a task that exceeds it dies, while one that exceeds its
+    cores is only slower. There is no margin on top: where a platform reports the allocation as the
+    usage, a margin would compound with each job.
     """
 
     def __init__(self, *, window: int = WINDOW, min_samples: int = MIN_SAMPLES) -> None:
@@ -69,9 +69,9 @@
         self._quantiles_by_kind: dict[Kind, tuple[float, float, float]] = {}
 
     def learn(self, name: str, spec: JobSpec, usage: Usage) -> None:
-        """Take in what a job that ran to its end has used.
+        """Record the usage of a job that ran to its end.
 
-        :param name: the job's or task's name; usage lags, so the same one comes again with more.
+        :param name: the job's or task's name; usage lags, so later calls may update the same one.
         :param spec: the job as it was declared.
         :param usage: what it used.
         """
@@ -89,12 +89,12 @@
         self._quantiles_by_kind.pop(kind_of(spec), None)
 
     def size(self, spec: JobSpec) -> Size:
-        """The room to keep for a job: as declared until enough of its kind have ended."""
+        """The capacity to allocate for a job: as declared until enough of its kind have ended."""
         cores, memory, _ = self._quantiles(kind_of(spec))
         return Size(spec["cores"] * cores, spec["memory_gb"] * memory, spec["accelerators"])
 
     def run_s(self, spec: JobSpec) -> float:
-        """The seconds that a job is expected to run at most, nine times in ten."""
+        """The seconds that a job is expected to run at most, in nine of ten cases."""
         return spec["run_s"] * self._quantiles(kind_of(spec))[2]
 
     def _quantiles(self, kind: Kind) -> tuple[float, float, float]:
@@ -119,8 +119,8 @@
 
 
 def _ratio(used: float, stated: float) -> float:
-    # A usage report that is missing reads as 0 and a broken one as anything: neither may shrink
-    # the room of a kind to nothing or blow it up beyond every worker.
+    # A missing usage report reads as 0 and a broken one as any value: neither may reduce the size
+    # of a kind to nothing or raise it beyond every worker.
     if stated <= 0 or used <= 0:
         return 1.0
     return min(max(used / stated, MIN_RATIO), MAX_RATIO)
--- a/mustardgap/workers.py
+++ b/mustardgap/workers.py
@@ -1,4 +1,4 @@
-"""The platform's workers and tasks as last seen by polling for what changed."""
+"""The platform's workers and tasks, as last read by polling for changes."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -20,7 +20,7 @@
 
 
 class PolledPlatform(Protocol):
-    """The part of the platform that is polled."""
+    """The part of the platform that is polled for workers and tasks."""
 
     async def workers(self, since: int = 0) -> WorkersPage:
         """Read the workers that changed since a version."""
@@ -30,9 +30,9 @@
 
 
 class Workers:
-    """The last view of workers and tasks; it is kept through an outage and tells its age.
+    """The last view of workers and tasks; kept during an outage, and its age is known.
 
-    :param platform: where the views are read from.
+    :param platform: the platform to poll.
     :param settings: the daemon's settings.
     :param timers: the timer service.
     """
@@ -54,7 +54,7 @@
         self._task_callbacks: list[OnTasks] = []
 
     def on_change(self, callback: OnChange) -> None:
-        """Call back with the ids of the workers that changed, came or went, tasks included."""
+        """Call back with the ids of workers that changed, came or went, or whose tasks did."""
         self._callbacks.append(callback)
 
     def on_tasks(self, callback: OnTasks) -> None:
@@ -68,7 +68,7 @@
         return self.timers.clock.monotonic() - min(self._workers_read, self._tasks_read)
 
     def tasks_on(self, worker: str) -> list[TaskInfo]:
-        """List the tasks on a worker that haven't ended."""
+        """The tasks on a worker that haven't ended."""
         ids = self.task_ids_by_worker.get(worker, ())
         return [self.tasks_by_id[task] for task in ids]
 
@@ -86,8 +86,8 @@
     async def poll(self) -> set[str]:
         """Read what changed.
 
-        :return: the ids of the workers concerned.
-        :raises PlatformError: a view couldn't be read; the last one stays.
+        :return: the ids of the workers that changed, or whose tasks did.
+        :raises PlatformError: a view couldn't be read; the last one is kept.
         """
         changed = await self._poll_workers()
         changed |= await self._poll_tasks()
@@ -101,19 +101,19 @@
             await self.poll()
         except PlatformError as exc:
             if self._reachable:
-                logging.warning("workers can't be read, the last view stays: %s", exc)
+                logging.warning("workers or tasks can't be read, keeping the last view: %s", exc)
             self._reachable = False
             return
         if not self._reachable:
-            logging.info("workers can be read again")
+            logging.info("workers and tasks can be read again")
         self._reachable = True
 
     async def _poll_workers(self) -> set[str]:
         started = self.timers.clock.monotonic()
         page = await self.platform.workers(self._workers_version)
         if page.version < self._workers_version:
-            # The platform restarted and counts from the start: its changes since our version
-            # would look like none, and the view would stay as it was for good.
+            # The platform restarted and its versions begin anew: a read since our version would
+            # show no changes, and the view would never be updated.
             self._workers_version = 0
             page = await self.platform.workers(0)
         changed = self._apply_workers(page, complete=self._workers_version == 0)
--- a/mustardgap/workloads.py
+++ b/mustardgap/workloads.py
@@ -1,4 +1,4 @@
-"""What dispatching speaks of: queues, services, jobs, executors, runs and their ends."""
+"""The types used in dispatching: queues, services, jobs, executors, runs and their ends."""
 
 import enum
 from typing import NamedTuple
@@ -17,10 +17,10 @@
 
 
 class Queue(NamedTuple):
-    """One queue of jobs, as the operator's configuration declares it.
+    """A queue of jobs, as the operator's configuration declares it.
 
-    ``priority`` 0 is the most urgent. ``stretch`` times a job's longest chain of work, plus
-    ``objective_s``, is the time within which a job earns its whole worth.
+    ``priority`` 0 is the most urgent. A job has its full value if it ends within ``stretch`` times
+    its critical path, plus ``objective_s``.
     """
 
     name: str
@@ -63,7 +63,7 @@
     limits: Limits = Limits()
 
     def queue_for(self, host: str, path: str) -> Queue | None:
-        """The queue whose prefix is the longest one that the path begins with.
+        """The queue of a host with the longest prefix of a path, or None.
 
         :param host: the request's host, without a port.
         :param path: the request's path.
@@ -84,11 +84,11 @@
     gpus: int = 0
 
     def plus(self, other: "Room") -> "Room":
-        """Both amounts together."""
+        """The sum of both amounts."""
         return Room(self.cpu + other.cpu, self.memory_mb + other.memory_mb, self.gpus + other.gpus)
 
     def minus(self, other: "Room") -> "Room":
-        """What is left after taking the other amount."""
+        """What is left after subtracting the other amount."""
         return Room(self.cpu - other.cpu, self.memory_mb - other.memory_mb, self.gpus - other.gpus)
 
     def holds(self, other: "Room") -> bool:
@@ -101,10 +101,10 @@
 class Step(NamedTuple):
     """The equal tasks, ``width`` of them, that one step of a job consists of.
 
-    ``estimate_s`` is the submitter's rough guess of a task's duration. ``anti_affinity`` bounds the
-    tasks of the step on one executor, 0 for no bound. A ``filling`` step uses processor time that
-    others leave over, so its ``cpu`` isn't counted. ``may_miss`` bounds how many tasks of a lasting
-    step we may take away at once; None for no promise.
+    ``estimate_s`` is the submitter's rough estimate of a task's duration. ``anti_affinity`` bounds
+    the tasks of the step on one executor, 0 for no bound. A ``filling`` step uses processor time
+    left by others, so its ``cpu`` isn't counted. ``may_miss`` bounds how many tasks of a lasting
+    step may be taken away at once; None if no bound is declared.
     """
 
     width: int
@@ -128,12 +128,12 @@
 
     @property
     def room(self) -> Room:
-        """What one task takes of an executor's capacity."""
+        """The capacity that one task takes on an executor."""
         return Room(0 if self.filling else self.cpu, self.memory_mb, self.gpus)
 
 
 class JobSpec(NamedTuple):
-    """What a caller asked for; its steps run ``repeats`` times when that is over 0."""
+    """A job as a caller submitted it; its steps run ``repeats`` times if that is over 0."""
 
     payload: str
     steps: tuple[Step, ...]
@@ -143,7 +143,7 @@
 
 
 class TaskId(NamedTuple):
-    """One task of a job; ``occurrence`` counts the repetitions from 0."""
+    """The id of a task of a job; ``occurrence`` counts the repetitions from 0."""
 
     job: JobId
     occurrence: int
@@ -152,9 +152,9 @@
 
 
 class ExecutorEntry(NamedTuple):
-    """What an executor says of itself in the platform's list of executors.
+    """An executor's own entry in the platform's list of executors.
 
-    ``readable`` is False while its newest record can't be read, and the rest is from an older one.
+    ``readable`` is False while its newest record can't be read; the rest is from an older one then.
     """
 
     executor: ExecutorId
@@ -182,7 +182,7 @@
 
 
 class RunRow(NamedTuple):
-    """One run that an executor reports as present; ``load`` is a tail in ms for serving tasks."""
+    """A run that an executor reports as present; ``load`` is a tail latency in ms when serving."""
 
     task: TaskId
     run: int
@@ -192,7 +192,7 @@
 
 
 class EndRow(NamedTuple):
-    """One end that an executor reports until it is acknowledged."""
+    """An ended run that an executor reports until it is acknowledged."""
 
     number: int
     task: TaskId
@@ -202,7 +202,7 @@
 
 
 class Report(NamedTuple):
-    """What one executor runs and what has ended there, at a time of its own clock."""
+    """What an executor runs and what has ended there, at a time of its own clock."""
 
     clock_ms: int
     running: tuple[RunRow, ...]
@@ -210,7 +210,7 @@
 
 
 class Machine(NamedTuple):
-    """One machine of the fleet, and the executor that is its present life."""
+    """A machine of the fleet, and the executor that runs on it at present."""
 
     machine: MachineId
     pool: str
@@ -222,7 +222,7 @@
 
 
 class Wave(NamedTuple):
-    """A set of machines that the operator wants maintained in time."""
+    """A set of machines that the operator wants maintained by a given time."""
 
     number: int
     machines: tuple[MachineId, ...]
