--- a/features/steps/jobs_leases_steps.py
+++ b/features/steps/jobs_leases_steps.py
@@ -54,7 +54,7 @@
 
 
 @then("jobs have run once each, and daemons looked at {checks} for leases")
-def step_looked(context, checks):
+def step_leases_checked(context, checks):
     jobs = context.world.journal.state.jobs_by_id
     assert {job["code"] for job in jobs.values()} == {4006}, jobs
     assert all(len(runs) == 1 for runs in context.world.platform.runs_by_job.values())
--- a/features/steps/jobs_steps.py
+++ b/features/steps/jobs_steps.py
@@ -190,7 +190,7 @@
 
 
 @when("jobs meet a worker that fails everything, and some jobs fail everywhere")
-def step_sick(context):
+def step_failing_worker(context):
     world = context.world
     world.platform.failing.add(BATCH[0])
 
@@ -207,7 +207,7 @@
 
 
 @then("jobs that are good end well, the bad ones with 4002, and that worker alone is set aside")
-def step_unblamed(context):
+def step_worker_set_aside(context):
     world = context.world
     codes = {(job["job"][:3], job["code"]) for job in jobs_of(world)}
     assert codes == {("goo", 4006), ("bad", 4002)}, codes
@@ -251,7 +251,7 @@
 
 
 @when("jobs that are urgent come faster than they can run, beside a long gentle one")
-def step_starving(context):
+def step_urgent_load(context):
     world = context.world
 
     async def run():
@@ -268,7 +268,7 @@
 
 
 @then("jobs that are gentle end, paused 3 times at most")
-def step_not_starved(context):
+def step_long_job_ended(context):
     job = context.world.job("long")
     moved = sum(attempt["outcome"] == "moved" for attempt in job["attempts"])
     assert job["code"] == 4006 and 1 <= moved <= 3, job
