--- a/features/steps/jobs_leases_steps.py
+++ b/features/steps/jobs_leases_steps.py
@@ -11,7 +11,7 @@
 
 
 def record_lease_checks(daemon, checks):
-    """Note which jobs a daemon checks for leases, by batch."""
+    """Record the jobs whose leases a daemon checks, one set per call of ``leases_due``."""
     actor = daemon.actors.jobs
     leases_due, view = actor.leases_due, actor._view
 
@@ -53,7 +53,7 @@
     asyncio.run(run())
 
 
-@then("jobs have run once each, and daemons looked at {checks} for leases")
+@then("jobs have run once each, and daemons checked the leases of {checks}")
 def step_leases_checked(context, checks):
     jobs = context.world.journal.state.jobs_by_id
     assert {job["code"] for job in jobs.values()} == {4006}, jobs
--- a/features/steps/jobs_quotas_steps.py
+++ b/features/steps/jobs_quotas_steps.py
@@ -10,7 +10,7 @@
 QUOTA = 4
 
 
-@when("jobs of a team fill its quota with {steps}, with {rest}, and an urgent one comes")
+@when("jobs of a team fill its quota with {steps}, with {rest}, and an urgent one arrives")
 def step_full(context, steps, rest):
     world = context.world
     steps_allowed = [] if steps == "nothing" else steps.split(",")
@@ -34,7 +34,7 @@
     asyncio.run(run())
 
 
-@then("jobs that are urgent start {when_}, and {paused:d} of that team's alone were paused")
+@then("jobs that are urgent start {when_}, and only {paused:d} jobs of that team were paused")
 def step_paused(context, when_, paused):
     world = context.world
     assert bool(context.started) == (when_ == "within 8 s"), world.job("urgent")
--- a/features/steps/jobs_steps.py
+++ b/features/steps/jobs_steps.py
@@ -32,13 +32,13 @@
 
 
 async def is_placed(world):
-    """Let the placing stand on the log, with no daemon near to start it."""
+    """Wait until the placement is on the log, while the platform is down."""
     world.platform.is_down = True
     await until(world, lambda: world.job(JOB)["phase"] == "placed")
 
 
 async def before_start(world, fault):
-    """Bring on a fault between the placing and the start."""
+    """Cause a fault between the placement and the start."""
     daemons = world.daemons_by_name
     if fault.startswith("placer frozen"):
         frozen = owner(world, "placer")
@@ -65,7 +65,7 @@
 
 
 def _freeze_at_start(daemon):
-    """Freeze a daemon at its next call that changes something, but not at its appends."""
+    """Freeze a daemon at its next call to start a task."""
     run = daemon.link.run
 
     async def stop_at(name, effect, *args, **kwargs):
@@ -81,7 +81,7 @@
 
 
 async def while_running(world, fault):
-    """Bring on a fault while the job runs."""
+    """Cause a fault while the job runs."""
     await until(world, lambda: world.job(JOB)["phase"] == "running")
     worker = world.job(JOB)["attempts"][-1]["worker"]
     links = [daemon.link for daemon in world.daemons_by_name.values()]
@@ -102,7 +102,7 @@
         world.platform.paused.clear()
     elif fault.startswith("worker loses"):
         world.platform.power(worker, False)
-    elif fault.startswith("all daemons away until"):
+    elif fault.startswith("all daemons cut off until"):
         for link in links:
             link.is_cut = True
         await world.pass_time(70)
@@ -206,7 +206,7 @@
     asyncio.run(run())
 
 
-@then("jobs that are good end well, the bad ones with 4002, and that worker alone is set aside")
+@then("jobs that are good succeed, the bad ones end with 4002, and only that worker is set aside")
 def step_worker_set_aside(context):
     world = context.world
     codes = {(job["job"][:3], job["code"]) for job in jobs_of(world)}
@@ -218,8 +218,8 @@
 
 
 @when(
-    "jobs that are gentle, with {steps} and idempotent: {idempotent}, fill all workers"
-    " and an urgent one comes"
+    "jobs that are less urgent, with {steps} and idempotent: {idempotent}, fill all workers"
+    " and an urgent one arrives"
 )
 def step_urgent(context, steps, idempotent):
     world = context.world
@@ -240,7 +240,7 @@
     asyncio.run(run())
 
 
-@then("jobs that are urgent start {when_} and the gentle ones end after {runs} runs")
+@then("jobs that are urgent start {when_} and the less urgent ones run {runs}")
 def step_started(context, when_, runs):
     world = context.world
     assert bool(context.started) == (when_ == "within 6 s"), world.job("urgent")
@@ -250,7 +250,7 @@
     assert not world.platform.broken, world.platform.broken
 
 
-@when("jobs that are urgent come faster than they can run, beside a long gentle one")
+@when("jobs that are urgent arrive faster than they can run, beside a long less urgent one")
 def step_urgent_load(context):
     world = context.world
 
@@ -267,12 +267,12 @@
     asyncio.run(run())
 
 
-@then("jobs that are gentle end, paused 3 times at most")
+@then("jobs that are less urgent end, paused 3 times at most")
 def step_long_job_ended(context):
     job = context.world.job("long")
     moved = sum(attempt["outcome"] == "moved" for attempt in job["attempts"])
     assert job["code"] == 4006 and 1 <= moved <= 3, job
-    assert any(j["phase"] == "waiting" for j in jobs_of(context.world)), "there was room all along"
+    assert any(j["phase"] == "waiting" for j in jobs_of(context.world)), "no job ever had to wait"
 
 
 @when("jobs run on processes with lost answers, a kill and a cancellation")
--- a/features/steps/jobs_strays_steps.py
+++ b/features/steps/jobs_strays_steps.py
@@ -8,14 +8,14 @@
 from mustardgap.exceptions import AnswerLost
 
 
-@when("jobs are cancelled while their start is held up, and it arrives after their end")
+@when("jobs are cancelled while their start is delayed, and it arrives after their end")
 def step_held_up(context):
     world = context.world
     starts = []
 
     async def hold(*args, **kwargs):
         starts.append(lambda: world.platform.start_task(*args, **kwargs))
-        raise AnswerLost(detail="held up")
+        raise AnswerLost(detail="the start is delayed")
 
     async def run():
         for daemon in world.daemons_by_name.values():
@@ -31,7 +31,7 @@
     asyncio.run(run())
 
 
-@then("jobs have ended with 4003 and the platform was told to stop what runs")
+@then("jobs have ended with 4003 and the platform was told to stop the task")
 def step_stopped(context):
     world = context.world
     states = [task["state"] for task in world.platform.tasks_by_id.values()]
--- a/features/steps/workers_steps.py
+++ b/features/steps/workers_steps.py
@@ -15,7 +15,7 @@
 
 
 class FakePlatform:
-    """Answers with the pages set, and with empty ones of the same version afterwards."""
+    """Answers with the pages set, then with empty ones of the same version."""
 
     def __init__(self):
         self.pages = {"workers": [], "tasks": []}
@@ -81,7 +81,7 @@
     with contextlib.suppress(PlatformError):
         asyncio.run(context.workers.poll())
     if "ago" in event:
-        assert "t1" in context.workers.tasks_by_id, "ended tasks are kept for a while"
+        assert "t1" in context.workers.tasks_by_id, "an ended task was dropped at once"
         context.clock.now += KEEP_ENDED_S + 1
         asyncio.run(context.workers.poll())
         assert "t1" not in context.workers.tasks_by_id
--- a/features/workers.feature
+++ b/features/workers.feature
@@ -1,9 +1,9 @@
 Feature: The polled view of workers and tasks
-  All parts share one view that follows the platform by what changed.
+  All parts share one view, which is updated with the platform's changes.
 
   Scenario Outline: A view that meets "<event>"
-    The caller sees requests go to executors that exist. The platform answers with changes, is down,
-    or has restarted and counts from the start. The view then stays, and tells how old it is.
+    Requests must go to executors that exist. The platform answers with changes, is down, or has
+    restarted and numbers its versions anew. In an outage the view is kept, and its age is known.
 
     Given a workers' view that has read two workers and a task
     When the workers' platform shows "<event>"
