--- a/mustardgap/workers.py
+++ b/mustardgap/workers.py
@@ -1,4 +1,4 @@
-"""The platform's workers and tasks as last seen by polling for what changed."""
+"""The platform's workers and tasks, as last read by polling for changes."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -19,8 +19,8 @@
 OnTasks = Callable[[list[TaskInfo]], None]
 
 
-class Views(Protocol):
-    """The part of the platform that is polled."""
+class PolledPlatform(Protocol):
+    """The part of the platform that is polled for workers and tasks."""
 
     async def workers(self, since: int = 0) -> WorkersPage:
         """Read the workers that changed since a version."""
@@ -30,14 +30,14 @@
 
 
 class Workers:
-    """The last view of workers and tasks; it is kept through an outage and tells its age.
+    """The last view of workers and tasks; kept during an outage, and its age is known.
 
-    :param platform: where the views are read from.
+    :param platform: the platform to poll.
     :param settings: the daemon's settings.
     :param timers: the timer service.
     """
 
-    def __init__(self, *, platform: Views, settings: Settings, timers: Timers) -> None:
+    def __init__(self, *, platform: PolledPlatform, settings: Settings, timers: Timers) -> None:
         self.platform = platform
         self.settings = settings
         self.timers = timers
@@ -54,7 +54,7 @@
         self._task_callbacks: list[OnTasks] = []
 
     def on_change(self, callback: OnChange) -> None:
-        """Call back with the ids of the workers that changed, came or went, tasks included."""
+        """Call back with the ids of workers that changed, came or went, or whose tasks did."""
         self._callbacks.append(callback)
 
     def on_tasks(self, callback: OnTasks) -> None:
@@ -68,15 +68,15 @@
         return self.timers.clock.monotonic() - min(self._workers_read, self._tasks_read)
 
     def tasks_on(self, worker: str) -> list[TaskInfo]:
-        """List the tasks on a worker that haven't ended."""
+        """The tasks on a worker that haven't ended."""
         ids = self.task_ids_by_worker.get(worker, ())
         return [self.tasks_by_id[task] for task in ids]
 
     async def run(self) -> None:
         """Poll until cancelled."""
-        await self._poll_logged()
+        await self._poll_and_log()
         unsubscribe = self.timers.subscribe(
-            "workers", self.settings.platform.poll_s, self._poll_logged
+            "workers", self.settings.platform.poll_s, self._poll_and_log
         )
         try:
             await asyncio.Event().wait()
@@ -86,8 +86,8 @@
     async def poll(self) -> set[str]:
         """Read what changed.
 
-        :return: the ids of the workers concerned.
-        :raises PlatformError: a view couldn't be read; the last one stays.
+        :return: the ids of the workers that changed, or whose tasks did.
+        :raises PlatformError: a view couldn't be read; the last one is kept.
         """
         changed = await self._poll_workers()
         changed |= await self._poll_tasks()
@@ -96,34 +96,34 @@
                 callback(changed)
         return changed
 
-    async def _poll_logged(self) -> None:
+    async def _poll_and_log(self) -> None:
         try:
             await self.poll()
         except PlatformError as exc:
             if self._reachable:
-                logging.warning("workers can't be read, the last view stays: %s", exc)
+                logging.warning("workers or tasks can't be read, keeping the last view: %s", exc)
             self._reachable = False
             return
         if not self._reachable:
-            logging.info("workers can be read again")
+            logging.info("workers and tasks can be read again")
         self._reachable = True
 
     async def _poll_workers(self) -> set[str]:
         started = self.timers.clock.monotonic()
         page = await self.platform.workers(self._workers_version)
         if page.version < self._workers_version:
-            # The platform restarted and counts from the start: its changes since our version
-            # would look like none, and the view would stay as it was for good.
+            # The platform restarted and its versions begin anew: a read since our version would
+            # show no changes, and the view would never be updated.
             self._workers_version = 0
             page = await self.platform.workers(0)
-        changed = self._take_workers(page, whole=self._workers_version == 0)
+        changed = self._apply_workers(page, complete=self._workers_version == 0)
         self._workers_version = page.version
         self._workers_read = started
         return changed
 
-    def _take_workers(self, page: WorkersPage, *, whole: bool) -> set[str]:
+    def _apply_workers(self, page: WorkersPage, *, complete: bool) -> set[str]:
         gone = set(page.gone) & set(self.by_id)
-        if whole:
+        if complete:
             gone |= set(self.by_id) - {worker["worker"] for worker in page.workers}
         changed = set(gone)
         for worker in gone:
@@ -143,20 +143,20 @@
         changed: set[str] = set()
         if self._tasks_version == 0:
             changed = self._forget(set(self.tasks_by_id) - {task["task"] for task in page.tasks})
-        changed |= self._take_tasks(page.tasks, started)
+        changed |= self._apply_tasks(page.tasks, started)
         self._tasks_version = page.version
         self._tasks_read = started
         self._forget({t for t, at in self._ended_at.items() if started - at > KEEP_ENDED_S})
         return changed
 
-    def _take_tasks(self, tasks: Iterable[TaskInfo], now: float) -> set[str]:
-        changed, news = set(), []
+    def _apply_tasks(self, tasks: Iterable[TaskInfo], now: float) -> set[str]:
+        changed, updated = set(), []
         for info in tasks:
             task, worker = info["task"], info["worker"]
             if self.tasks_by_id.get(task) == info:
                 continue
             self.tasks_by_id[task] = info
-            news.append(info)
+            updated.append(info)
             changed.add(worker)
             on_worker = self.task_ids_by_worker.setdefault(worker, set())
             if info["state"] in ENDED_STATES:
@@ -165,7 +165,7 @@
             else:
                 on_worker.add(task)
         for callback in self._task_callbacks:
-            callback(news)
+            callback(updated)
         return changed
 
     def _forget(self, tasks: set[str]) -> set[str]:
