--- a/features/support/peer_process.py
+++ b/features/support/peer_process.py
@@ -114,7 +114,7 @@
             may_use=self.reader.may_use,
         )
         self.reader.way = self.broker
-        self.slots.way = self.broker
+        self.slots.sharing = self.broker
         self.peers.handle(RecordsAsk, lambda member, message: RecordsAsk(message.first + 1))
         self.given = self.refused = 0
 
--- a/mustardgap/brokers.py
+++ b/mustardgap/brokers.py
@@ -12,7 +12,7 @@
 from .executors import ExecutorView
 from .holdings import Holding, Loan
 from .ledgers import ids_of, masks_of
-from .lenders import FAIR_WAIT_S, Lender
+from .lenders import MIN_WAIT_LEAD_S, Lender
 from .members import Member, Members, MemberState
 from .messages import (
     AnyMessage,
@@ -31,11 +31,11 @@
 from .states import State
 from .timers import Timers
 
-TICKS_A_LEASE = 6
-RECALL_S = 0.1
-SETTLE_S = 0.3
-ASK_AGAIN_S = 0.2
-STALLED_S = 5.0
+TICKS_PER_LEASE = 6
+RECALL_VALID_S = 0.1
+SETTLE_INTERVAL_S = 0.3
+ASK_INTERVAL_S = 0.2
+STALLED_AFTER_S = 5.0
 
 
 class HasPeers(Protocol):
@@ -94,15 +94,17 @@
         )
         self.lenders_by_service: dict[str, Lender] = {}
         self.holdings: dict[tuple[str, str], Holding] = {}
-        self._sources_by_use: dict[int, Holding | None] = {}
-        self._uses = 0
-        self._asking: set[str] = set()
-        self._settled_at = 0.0
-        self._waiting: list[tuple[str, Settle]] = []
-        self._started = self._usable_at = self._beat = self._awake = self.clock.monotonic()
-        members.on_change(self._changed)
-        timers.on_gap(self._gap)
-        self._handle()
+        self._holdings_by_use: dict[int, Holding | None] = {}
+        self._last_use_number = 0
+        self._services_to_ask: set[str] = set()
+        self._last_settle_at = 0.0
+        self._deferred_settles: list[tuple[str, Settle]] = []
+        self._started_at = self._last_usable_at = self._last_tick_at = self._awake_since = (
+            self.clock.monotonic()
+        )
+        members.on_change(self._on_member_change)
+        timers.on_gap(self._on_gap)
+        self._register_handlers()
 
     # What ``Slots`` calls.
 
@@ -111,14 +113,14 @@
         now = self.clock.monotonic()
         if not self._may_start(now):
             return None
-        self._usable_at = now
+        self._last_usable_at = now
         until = min(deadline, now + self.max_hold_s(service))
         lender = self.lender(service)
         idle = [(i, view) for i, view in lender.idle() if view.executor not in exclude]
         if idle:
             slot_id, view = random.choice(idle)
             lender.used.add(slot_id)
-            return self._use(service, slot_id, view, until, None)
+            return self._start_use(service, slot_id, view, until, None)
         views = {view.executor: view for view in self.slots.executors.candidates(service)}
         for holding in self._holdings(service):
             if now >= holding.leased_until:
@@ -126,47 +128,47 @@
             for slot_id in holding.idle():
                 found = views.get(slot_id.executor)
                 if found is None:
-                    self._return(holding, [slot_id])
+                    self._return_slots(holding, [slot_id])
                 elif found.executor not in exclude:
-                    return self._use(service, slot_id, found, until, holding)
+                    return self._start_use(service, slot_id, found, until, holding)
         return None
 
     def give_back(self, slot: Slot) -> None:
         """Give a slot back; it goes to whoever is more urgent or has waited longer."""
-        if slot.lent not in self._sources_by_use:
+        if slot.use_number not in self._holdings_by_use:
             return
-        holding = self._sources_by_use.pop(slot.lent)
+        holding = self._holdings_by_use.pop(slot.use_number)
         if holding is None:
             lender = self.lender(slot.service)
             lender.used.discard(slot.id)
-            lender.pump()
+            lender.lend_and_recall()
             return
         loan = holding.loans_by_id.get(slot.id)
-        if loan is None or loan.used != slot.lent:
+        if loan is None or loan.use_number != slot.use_number:
             return
         now = self.clock.monotonic()
-        holding.loans_by_id[slot.id] = loan._replace(used=0, since=now)
+        holding.loans_by_id[slot.id] = loan._replace(use_number=0, since=now)
         if now >= holding.leased_until:
             # The owner may have taken it back by now; the next renewal tells it so.
             del holding.loans_by_id[slot.id]
-        elif slot.id in holding.unwanted or self._recalled(holding, now):
-            self._return(holding, [slot.id])
+        elif slot.id in holding.return_when_free or self._is_recalled(holding, now):
+            self._return_slots(holding, [slot.id])
 
-    def want(self, service: str) -> None:
+    def demand_changed(self, service: str) -> None:
         """Ask the owners for as many slots as requests wait, once a turn of the loop."""
-        if service not in self._asking:
-            self._asking.add(service)
-            asyncio.get_running_loop().call_soon(self._ask, service)
+        if service not in self._services_to_ask:
+            self._services_to_ask.add(service)
+            asyncio.get_running_loop().call_soon(self._send_asks, service)
 
     def stalled(self, service: str) -> bool:
         """Whether nothing could be used for so long that waiting is no use."""
         now = self.clock.monotonic()
         if not self._may_start(now):
-            return now > max(self._usable_at, self._started) + STALLED_S
+            return now > max(self._last_usable_at, self._started_at) + STALLED_AFTER_S
         if self.lender(service).ownership.usable:
             return False
-        heard = [holding.heard for holding in self._holdings(service)]
-        return now > max([self._started, *heard]) + STALLED_S
+        heard = [holding.heard_at for holding in self._holdings(service)]
+        return now > max([self._started_at, *heard]) + STALLED_AFTER_S
 
     def is_settled(self) -> bool:
         """Whether this member has its share, or others who may lend it theirs."""
@@ -180,49 +182,49 @@
 
     async def run(self) -> None:
         """Renew leases, settle what came into this host's hands, until cancelled."""
-        self._started = self._usable_at = self.clock.monotonic()
-        self._look()
+        self._started_at = self._last_usable_at = self.clock.monotonic()
+        self._settle_and_serve()
         while True:
             self.tick()
-            await asyncio.sleep(self.lease_s / TICKS_A_LEASE * random.uniform(0.9, 1.0))
+            await asyncio.sleep(self.lease_s / TICKS_PER_LEASE * random.uniform(0.9, 1.0))
 
     def tick(self) -> None:
         """Renew every lease, return what has been idle too long, ask for what is pending."""
         now = self.clock.monotonic()
         self._may_start(now)
-        self._beat = now
+        self._last_tick_at = now
         for service in dict.fromkeys([*self.services(), *self.lenders_by_service]):
             self.lender(service).tick()
             if self.slots.waiting(service):
-                self.want(service)
+                self.demand_changed(service)
                 self.slots.serve(service)
         for key, holding in list(self.holdings.items()):
             m = self.members.by_id.get(holding.owner)
-            self._tidy(holding, now)
-            if holding.loans_by_id or holding.ask_until > now:
+            self._prune_loans(holding, now)
+            if holding.loans_by_id or holding.ask_valid_until > now:
                 self._renew(holding)
             elif m is None or m.state is MemberState.dead:
                 del self.holdings[key]
-        if now - self._settled_at >= SETTLE_S * 0.9:
+        if now - self._last_settle_at >= SETTLE_INTERVAL_S * 0.9:
             self._settle(now)
 
     def folded(self) -> None:
         """Take in what the log decided on the entry hosts."""
         if self.ownership.refresh():
-            self._look()
-        self._answer_waiting()
+            self._settle_and_serve()
+        self._answer_deferred_settles()
 
     def restored(self) -> None:
         """Take in a state that was taken over whole."""
         self.ownership.refresh(from_snapshot=True)
-        self._look()
-        self._answer_waiting()
+        self._settle_and_serve()
+        self._answer_deferred_settles()
 
     def stop_lending(self) -> None:
         """Lend no more and collect what is lent, before this entry host leaves."""
         for lender in self.lenders_by_service.values():
-            lender.lends = False
-            lender.pump()
+            lender.is_lending = False
+            lender.lend_and_recall()
 
     def stop_owning(self) -> None:
         """Start nothing on own slots any more; the record that gives them up is on its way."""
@@ -235,7 +237,7 @@
 
     # Owning.
 
-    def _look(self) -> None:
+    def _settle_and_serve(self) -> None:
         self._settle(self.clock.monotonic())
         for service in self.services():
             self.slots.serve(service)
@@ -249,14 +251,14 @@
             self.lender(s).pending() for s in self.services()
         ):
             return
-        self._settled_at = now
+        self._last_settle_at = now
         for member_id in own.other_member_ids():
             self.peers.send(member_id, Settle(own.offset))
 
-    def take_settle(self, sender: Member, message: Settle) -> None:
+    def answer_settle(self, sender: Member, message: Settle) -> None:
         """Tell an owner what is in use here, once this daemon has folded as far as it has."""
         if self.state.offset <= message.offset:
-            self._waiting.append((sender.id, message))
+            self._deferred_settles.append((sender.id, message))
             return
         busy: set[SlotId] = set()
         for lender in self.lenders_by_service.values():
@@ -264,7 +266,7 @@
         age_ms = int(self.ownership.last_unclean_end_age_s() * 1000)
         self.peers.send(sender.id, Settled(self.state.offset, masks_of(busy), age_ms))
 
-    def take_settled(self, sender: Member, message: Settled) -> None:
+    def apply_settled(self, sender: Member, message: Settled) -> None:
         """Take in what another owner still uses or lends."""
         if sender.id not in self.ownership.other_member_ids():
             return
@@ -272,14 +274,14 @@
         for service in self.services():
             if self.slots.waiting(service):
                 self.slots.serve(service)
-            self.lender(service).pump()
+            self.lender(service).lend_and_recall()
 
-    def _answer_waiting(self) -> None:
-        waiting, self._waiting = self._waiting, []
+    def _answer_deferred_settles(self) -> None:
+        waiting, self._deferred_settles = self._deferred_settles, []
         for member_id, message in waiting:
             m = self.members.by_id.get(member_id)
             if m is not None:
-                self.take_settle(m, message)
+                self.answer_settle(m, message)
 
     def _may_start(self, now: float) -> bool:
         """Whether this daemon knows that nobody has taken over its share.
@@ -287,96 +289,102 @@
         A process that was stopped finds its clocks far on when it wakes. What it knew before says
         nothing; only word that came since does.
         """
-        if now - self._beat > self.lease_s:
-            self._awake = self._beat = now
-        return self.may_use(self._awake)
+        if now - self._last_tick_at > self.lease_s:
+            self._awake_since = self._last_tick_at = now
+        return self.may_use(self._awake_since)
 
     # Borrowing.
 
-    def take_grant(self, sender: Member, message: Grant) -> None:
+    def apply_grant(self, sender: Member, message: Grant) -> None:
         """Take in slots that were lent, unless they come too late."""
-        holding = self._current(sender, message)
-        if holding is None or message.number <= holding.number:
+        holding = self._current_holding(sender, message)
+        if holding is None or message.number <= holding.last_grant_number:
             return
-        holding.number = message.number
+        holding.last_grant_number = message.number
         now = self.clock.monotonic()
-        self._lease(holding, message.sent)
+        self._extend_lease(holding, message.sent)
         for slot_id in ids_of(message.slots):
             loan = holding.loans_by_id.get(slot_id, Loan(0, 0, now, 0.0))
-            holding.loans_by_id[slot_id] = loan._replace(number=message.number)
-            holding.unwanted.discard(slot_id)
-            holding.asked = max(holding.asked - 1, 0)
+            holding.loans_by_id[slot_id] = loan._replace(grant_number=message.number)
+            holding.return_when_free.discard(slot_id)
+            holding.asked_count = max(holding.asked_count - 1, 0)
         self.slots.serve(holding.service)
         if not self.slots.waiting(holding.service):
             # Several owners may have lent at once what was asked of each.
-            self._return(holding, [i for i in ids_of(message.slots) if i in holding.idle()])
+            self._return_slots(holding, [i for i in ids_of(message.slots) if i in holding.idle()])
 
-    def take_held(self, sender: Member, message: Held) -> None:
+    def apply_held(self, sender: Member, message: Held) -> None:
         """Take in an owner's answer to a renewal."""
-        holding = self._current(sender, message)
+        holding = self._current_holding(sender, message)
         if holding is None:
             return
         if not message.leased:
             holding.start_session()
-            self.want(holding.service)
+            self.demand_changed(holding.service)
             return
-        self._lease(holding, message.sent)
-        holding.number = max(holding.number, message.number)
+        self._extend_lease(holding, message.sent)
+        holding.last_grant_number = max(holding.last_grant_number, message.number)
         lost = set(ids_of(message.drop)) & holding.loans_by_id.keys()
-        holding.unwanted |= lost
-        self._return(holding, [i for i in lost if not holding.loans_by_id[i].used])
+        holding.return_when_free |= lost
+        self._return_slots(holding, [i for i in lost if not holding.loans_by_id[i].use_number])
 
-    def take_recall(self, sender: Member, message: Recall) -> None:
+    def apply_recall(self, sender: Member, message: Recall) -> None:
         """Return what is idle, because others wait."""
-        holding = self._current(sender, message)
+        holding = self._current_holding(sender, message)
         if holding is None:
             return
         now = self.clock.monotonic()
-        holding.recall = (message.urgency, now - message.waited_ms / 1000)
-        holding.recalled_until = now + RECALL_S
+        holding.recall_claim = (message.urgency, now - message.waited_ms / 1000)
+        holding.recall_valid_until = now + RECALL_VALID_S
         if not self.slots.waiting(holding.service):
-            self._return(holding, holding.idle())
+            self._return_slots(holding, holding.idle())
 
-    def _lease(self, holding: Holding, sent: int) -> None:
-        holding.heard = self.clock.monotonic()
+    def _extend_lease(self, holding: Holding, sent: int) -> None:
+        holding.heard_at = self.clock.monotonic()
         holding.leased_until = max(holding.leased_until, sent / 1000 + self.lease_s)
 
     def _renew(self, holding: Holding) -> None:
         hold = Hold(
-            holding.service, holding.session, self._now_ms(), holding.number, holding.masks()
+            holding.service,
+            holding.session,
+            self._now_ms(),
+            holding.last_grant_number,
+            holding.masks(),
         )
         self.peers.send(holding.owner, hold)
 
-    def _tidy(self, holding: Holding, now: float) -> None:
+    def _prune_loans(self, holding: Holding, now: float) -> None:
         for slot_id, loan in list(holding.loans_by_id.items()):
-            if now >= loan.until if loan.used else now >= holding.leased_until:
+            if now >= loan.until if loan.use_number else now >= holding.leased_until:
                 del holding.loans_by_id[slot_id]
         if not self.slots.waiting(holding.service):
             old = now - self.settings.requests.cache_s
             loans = holding.loans_by_id.items()
-            self._return(holding, [i for i, loan in loans if not loan.used and loan.since < old])
+            self._return_slots(
+                holding, [i for i, loan in loans if not loan.use_number and loan.since < old]
+            )
 
-    def _ask(self, service: str) -> None:
-        self._asking.discard(service)
+    def _send_asks(self, service: str) -> None:
+        self._services_to_ask.discard(service)
         demand = self.slots.demand(service)
         now = self.clock.monotonic()
         if demand.waiting:
             for owner in self._owners(service):
                 self._holding(service, owner)
-        self.lender(service).pump()
+        self.lender(service).lend_and_recall()
         for holding in self._holdings(service):
-            again = demand.waiting and now > holding.ask_until - self.lease_s + ASK_AGAIN_S
-            if demand.waiting == holding.asked and not again:
+            again = demand.waiting and now > holding.ask_valid_until - self.lease_s + ASK_INTERVAL_S
+            if demand.waiting == holding.asked_count and not again:
                 continue
-            holding.asked = demand.waiting
+            holding.asked_count = demand.waiting
             holding.ask_sequence += 1
-            holding.ask_until = now + self.lease_s
+            holding.ask_valid_until = now + self.lease_s
             ask = Ask(
                 service,
                 holding.session,
                 self._now_ms(),
                 holding.ask_sequence,
-                holding.number,
+                holding.last_grant_number,
                 demand.waiting,
                 demand.urgency,
                 int(demand.waited_s * 1000),
@@ -392,25 +400,25 @@
         ids = [f"{host}@{own.joined[host]:x}" for host in sorted(hosts - {own.host, ""})]
         return [i for i in ids if i in by_id and by_id[i].state is MemberState.live]
 
-    def _recalled(self, holding: Holding, now: float) -> bool:
+    def _is_recalled(self, holding: Holding, now: float) -> bool:
         """Whether a slot that was just freed is due to another member."""
-        if now >= holding.recalled_until:
+        if now >= holding.recall_valid_until:
             return False
         demand = self.slots.demand(holding.service)
         if not demand.waiting:
             return True
-        urgency, since = holding.recall
+        urgency, since = holding.recall_claim
         if urgency != demand.urgency:
             return urgency < demand.urgency
         # A slot on its way to another entry host stands idle, so a small lead isn't worth a trip.
-        return demand.waited_s + FAIR_WAIT_S < now - since
+        return demand.waited_s + MIN_WAIT_LEAD_S < now - since
 
-    def _return(self, holding: Holding, slot_ids: list[SlotId]) -> None:
+    def _return_slots(self, holding: Holding, slot_ids: list[SlotId]) -> None:
         numbered: dict[int, list[SlotId]] = {}
         for slot_id in slot_ids:
             loan = holding.loans_by_id.pop(slot_id)
-            holding.unwanted.discard(slot_id)
-            numbered.setdefault(loan.number, []).append(slot_id)
+            holding.return_when_free.discard(slot_id)
+            numbered.setdefault(loan.grant_number, []).append(slot_id)
         if numbered:
             masks = {number: masks_of(ids) for number, ids in numbered.items()}
             self.peers.send(holding.owner, Return(holding.service, holding.session, masks))
@@ -435,7 +443,7 @@
             )
         return lender
 
-    def _use(
+    def _start_use(
         self,
         service: str,
         slot_id: SlotId,
@@ -443,13 +451,15 @@
         until: float,
         holding: Holding | None,
     ) -> Slot:
-        self._uses += 1
+        self._last_use_number += 1
         now = self.clock.monotonic()
-        self._sources_by_use[self._uses] = holding
+        self._holdings_by_use[self._last_use_number] = holding
         if holding is not None:
             loan = holding.loans_by_id[slot_id]
-            holding.loans_by_id[slot_id] = loan._replace(used=self._uses, since=now, until=until)
-        return Slot(service, slot_id, view, now, until, self._uses)
+            holding.loans_by_id[slot_id] = loan._replace(
+                use_number=self._last_use_number, since=now, until=until
+            )
+        return Slot(service, slot_id, view, now, until, self._last_use_number)
 
     def _holding(self, service: str, owner: str) -> Holding:
         key = (service, owner)
@@ -460,7 +470,7 @@
     def _holdings(self, service: str) -> list[Holding]:
         return [holding for (of, _), holding in self.holdings.items() if of == service]
 
-    def _current(self, sender: Member, message: Any) -> Holding | None:
+    def _current_holding(self, sender: Member, message: Any) -> Holding | None:
         holding = self.holdings.get((message.service, sender.id))
         same = holding is not None and holding.session == message.session
         return holding if same else None
@@ -471,37 +481,37 @@
     def _send(self, member_id: str, message: AnyMessage) -> None:
         self.peers.send(member_id, message)
 
-    def _handle(self) -> None:
+    def _register_handlers(self) -> None:
         def to(method: Callable[[Lender, Member, Any], None]) -> Callable[[Member, Any], None]:
             return lambda sender, message: method(self.lender(message.service), sender, message)
 
         handlers: dict[type, Callable[[Member, Any], Any]] = {
-            Settle: self.take_settle,
-            Settled: self.take_settled,
-            Grant: self.take_grant,
-            Held: self.take_held,
-            Recall: self.take_recall,
-            Hold: to(Lender.take_hold),
-            Ask: to(Lender.take_ask),
-            Return: to(Lender.take_return),
+            Settle: self.answer_settle,
+            Settled: self.apply_settled,
+            Grant: self.apply_grant,
+            Held: self.apply_held,
+            Recall: self.apply_recall,
+            Hold: to(Lender.apply_hold),
+            Ask: to(Lender.apply_ask),
+            Return: to(Lender.apply_return),
         }
         for type_, handler in handlers.items():
             self.peers.handle(type_, handler)
 
-    def _changed(self, member: Member, old: Member | None) -> None:
+    def _on_member_change(self, member: Member, old: Member | None) -> None:
         if member.host == self.members.me.host and member.state is MemberState.dead:
-            self._void()
+            self._restart()
 
-    def _gap(self, lost_s: float) -> None:
+    def _on_gap(self, lost_s: float) -> None:
         """Drop what lapsed while this process was paused, before anything else is done."""
         now = self.clock.monotonic()
         self._may_start(now)
         for holding in self.holdings.values():
-            self._tidy(holding, now)
+            self._prune_loans(holding, now)
 
-    def _void(self) -> None:
+    def _restart(self) -> None:
         """Start anew under a new incarnation, which owns nothing yet and has borrowed nothing."""
-        self._started = self._usable_at = self.clock.monotonic()
+        self._started_at = self._last_usable_at = self.clock.monotonic()
         self.ownership.restart()
         self.holdings.clear()
         for lender in self.lenders_by_service.values():
--- a/mustardgap/budgets.py
+++ b/mustardgap/budgets.py
@@ -106,15 +106,15 @@
     value = state.value("pool", pool)
     if value is None:
         return 0
-    left = value["max_hosts"] - _holding(state, [pool])
+    left = value["max_hosts"] - _count_members(state, [pool])
     profile = state.profile_of(value["service"])
     if profile is not None:
         pools = state.pools_by_service.get(value["service"], [])
-        left = min(left, profile["room"]["max_hosts"] - _holding(state, pools))
+        left = min(left, profile["room"]["max_hosts"] - _count_members(state, pools))
     return left
 
 
-def _holding(state: State, pools: Iterable[str]) -> int:
+def _count_members(state: State, pools: Iterable[str]) -> int:
     return sum(
         state.hosts_by_name[name]["phase"] in ("in_service", "draining")
         for pool in pools
@@ -122,7 +122,7 @@
     )
 
 
-def least_hosts(min_hosts: int, survive: str, sizes: Collection[int]) -> int | None:
+def required_hosts(min_hosts: int, survive: str, sizes: Collection[int]) -> int | None:
     """The fewest hosts that keep ``min_hosts`` with the worst failure domain lost.
 
     With at most ``c`` hosts in each domain the worst loss is ``c``, so ``min_hosts + c`` hosts are
@@ -156,7 +156,7 @@
     found: list[Shortage] = []
     fleet = sum(state.healthy_by_domain["data_center"].values())
     pools_by_service = _pools_by_service(values_by_key)
-    needs = _Needs(state)
+    needs = _RequiredHosts(state)
     total = sum(pool["min_hosts"] for pool in pools_by_service.get("", []))
     for key, service in values_by_key.items():
         kind, _, name = key.partition("/")
@@ -175,7 +175,7 @@
             "in its pools": (floor, sum(pool["max_hosts"] for pool in pools)),
         }
         if fleet:
-            limits["in the fleet"] = needs.against_fleet(profile)
+            limits["in the fleet"] = needs.compare_with_fleet(profile)
         for limit, (wanted, have) in limits.items():
             if wanted > have:
                 found.append(Shortage(key, limit, wanted, have, detail))
@@ -192,30 +192,30 @@
     return pools
 
 
-class _Needs:
+class _RequiredHosts:
     """The fewest hosts of each kind of budget, worked out once."""
 
     def __init__(self, state: State) -> None:
         self._sizes = {name: list(c.values()) for name, c in state.healthy_by_domain.items()}
         self._fleet = sum(self._sizes["data_center"])
-        self._least: dict[tuple[int, str], int | None] = {}
+        self._required: dict[tuple[int, str], int | None] = {}
 
     def of(self, availability: Any) -> int:
         key = (availability["min_hosts"], availability["survive"])
-        if key not in self._least:
-            self._least[key] = least_hosts(*key, self._sizes.get(key[1], []))
-        least = self._least[key]
+        if key not in self._required:
+            self._required[key] = required_hosts(*key, self._sizes.get(key[1], []))
+        required = self._required[key]
         # Without an answer, as when no host is registered, one host more is the least it can be.
-        return key[0] + 1 if least is None else least
+        return key[0] + 1 if required is None else required
 
-    def against_fleet(self, profile: Any) -> tuple[int, int]:
+    def compare_with_fleet(self, profile: Any) -> tuple[int, int]:
         """The hosts that must stay with a domain lost, and the most that could."""
         wanted, survive = profile["availability"]["min_hosts"], profile["availability"]["survive"]
         if survive == "none":
             return wanted, self._fleet
         if survive == "host":
             return wanted, self._fleet - 1
-        if self._least[wanted, survive] is not None:
+        if self._required[wanted, survive] is not None:
             return wanted, wanted
         sizes = self._sizes[survive]
         caps = range(1, max(sizes) + 1)
--- a/mustardgap/daemons.py
+++ b/mustardgap/daemons.py
@@ -72,9 +72,9 @@
             "operators": parts.operators.run,
             "callers": parts.callers.run,
         }
-        if isinstance(parts.slots.way, Broker):
+        if isinstance(parts.slots.sharing, Broker):
             children["enrolment"] = parts.enrolment.run
-            children["broker"] = parts.slots.way.run
+            children["broker"] = parts.slots.sharing.run
         return children
 
     async def _start(self) -> None:
@@ -106,7 +106,7 @@
         """
         clock = self.parts.timers.clock
         deadline = clock.monotonic() + SETTLING_S
-        way = self.parts.slots.way
+        way = self.parts.slots.sharing
         while isinstance(way, Broker) and not way.is_settled():
             if clock.monotonic() > deadline or self._stop.is_set():
                 return
@@ -142,7 +142,9 @@
             "readiness.stop": self._stop_readiness,
             "presence.leave": parts.presence.leave,
             "callers.drain": parts.callers.drain,
-            "enrolment.leave": partial(parts.enrolment.leave, parts.slots.way, timeout_s=part_s),
+            "enrolment.leave": partial(
+                parts.enrolment.leave, parts.slots.sharing, timeout_s=part_s
+            ),
             "keys.flush": partial(parts.keys.flush, timeout_s=part_s),
             "actors.settle": parts.actors.settle,
             "presence.withdraw": parts.presence.withdraw,
--- a/mustardgap/enrolments.py
+++ b/mustardgap/enrolments.py
@@ -10,7 +10,7 @@
 from .models import EntryBody, LogRecord
 from .outcomes import Verdict
 from .settings import Settings
-from .slots import Way
+from .slots import SharingPolicy
 from .streams import Log
 from .timers import Timers
 
@@ -40,7 +40,7 @@
         self.entries = Entries(state=log.state, members=members, duties=duties)
         self._stale_s = settings.platform.stale_after_s
 
-    def follow(self, way: Way) -> None:
+    def follow(self, way: SharingPolicy) -> None:
         """Have a way of sharing follow the membership."""
         if isinstance(way, Broker):
             self.log.on_fold(lambda record, verdict: self._folded(way, record, verdict))
@@ -53,7 +53,7 @@
                 await self._look()
             await self.clock.sleep(LOOK_S)
 
-    async def leave(self, way: Way, *, timeout_s: float) -> None:
+    async def leave(self, way: SharingPolicy, *, timeout_s: float) -> None:
         """Collect what is lent and leave; without that the others take this run for gone."""
         body = self.entries.leave()
         if body is None:
--- a/mustardgap/holdings.py
+++ b/mustardgap/holdings.py
@@ -10,8 +10,8 @@
 class Loan(NamedTuple):
     """A slot that was lent here; ``used`` is the use's number, 0 while idle since ``since``."""
 
-    number: int
-    used: int
+    grant_number: int
+    use_number: int
     since: float
     until: float
 
@@ -27,20 +27,20 @@
         self.service = service
         self.owner = owner
         self.session = 1
-        self.number = 0
+        self.last_grant_number = 0
         self.leased_until = 0.0
-        self.heard = 0.0
+        self.heard_at = 0.0
         self.loans_by_id: dict[SlotId, Loan] = {}
-        self.unwanted: set[SlotId] = set()
+        self.return_when_free: set[SlotId] = set()
         self.ask_sequence = 0
-        self.asked = 0
-        self.ask_until = 0.0
-        self.recall: tuple[int, float] = (99, 0.0)
-        self.recalled_until = 0.0
+        self.asked_count = 0
+        self.ask_valid_until = 0.0
+        self.recall_claim: tuple[int, float] = (99, 0.0)
+        self.recall_valid_until = 0.0
 
     def idle(self) -> list[SlotId]:
         """The slots not in use, the latest idle first."""
-        idle = [(loan.since, i) for i, loan in self.loans_by_id.items() if not loan.used]
+        idle = [(loan.since, i) for i, loan in self.loans_by_id.items() if not loan.use_number]
         return [slot_id for _, slot_id in sorted(idle, reverse=True)]
 
     def masks(self) -> Masks:
@@ -50,8 +50,8 @@
     def start_session(self) -> None:
         """Begin anew with the owner, which has taken back all that was lent."""
         self.session += 1
-        self.number = self.asked = 0
+        self.last_grant_number = self.asked_count = 0
         self.leased_until = 0.0
-        self.recalled_until = 0.0
+        self.recall_valid_until = 0.0
         self.loans_by_id.clear()
-        self.unwanted.clear()
+        self.return_when_free.clear()
--- a/mustardgap/lenders.py
+++ b/mustardgap/lenders.py
@@ -13,8 +13,8 @@
 from .slots import Demand, SlotId
 from .timers import Clock
 
-RECALL_EVERY_S = 0.02
-FAIR_WAIT_S = 0.025
+RECALL_INTERVAL_S = 0.02
+MIN_WAIT_LEAD_S = 0.025
 
 
 class Claim(NamedTuple):
@@ -65,10 +65,10 @@
         self.send = send
         self.used: set[SlotId] = set()
         self.restart()
-        self.lends = True
-        self._last = SlotId("", 0)
-        self._recalled_at = 0.0
-        self._recalling = False
+        self.is_lending = True
+        self._last_lent = SlotId("", 0)
+        self._last_recall_at = 0.0
+        self._recall_scheduled = False
 
     def restart(self) -> None:
         """Forget what was lent; as a new run this host owns nothing until it is surely over."""
@@ -98,47 +98,52 @@
         """The slots that this entry host uses as its own or has lent."""
         return self.used | self.ledger.lent
 
-    def take_ask(self, sender: Member, message: Ask) -> None:
+    def apply_ask(self, sender: Member, message: Ask) -> None:
         """Note how many slots a member lacks, and lend what is free."""
         now = self.clock.monotonic()
-        b = self.ledger.borrower(sender.id, message.session, now)
-        if b is None:
+        borrower = self.ledger.borrower(sender.id, message.session, now)
+        if borrower is None:
             self._end_session(sender.id, message.session, message.sent)
             return
-        if b.ask is not None and b.ask.sequence >= message.sequence:
+        if borrower.ask is not None and borrower.ask.sequence >= message.sequence:
             return
-        b.sent = max(b.sent, message.sent)
-        b.note_ask(message, now - message.waited_ms / 1000)
-        self.pump()
+        borrower.sent = max(borrower.sent, message.sent)
+        borrower.note_ask(message, now - message.waited_ms / 1000)
+        self.lend_and_recall()
 
-    def take_hold(self, sender: Member, message: Hold) -> None:
+    def apply_hold(self, sender: Member, message: Hold) -> None:
         """Renew a member's lease and settle what it holds."""
-        b = self.ledger.borrower(sender.id, message.session, self.clock.monotonic())
-        if b is None:
+        borrower = self.ledger.borrower(sender.id, message.session, self.clock.monotonic())
+        if borrower is None:
             self._end_session(sender.id, message.session, message.sent)
             return
-        if message.sent <= b.held_sent:
+        if message.sent <= borrower.held_sent:
             return
-        b.held_sent = message.sent
-        b.sent = max(b.sent, message.sent)
-        self.ledger.settle(b, message)
+        borrower.held_sent = message.sent
+        borrower.sent = max(borrower.sent, message.sent)
+        self.ledger.settle(borrower, message)
         if self.may_use():
-            lost = [i for i in b.numbers_by_id if not self._may_lend(i)]
+            lost = [i for i in borrower.numbers_by_id if not self._may_lend(i)]
             held = Held(
-                self.service, b.session, message.sent, True, b.number_before, masks_of(lost)
+                self.service,
+                borrower.session,
+                message.sent,
+                True,
+                borrower.number_before,
+                masks_of(lost),
             )
-            b.number_before = b.number
+            borrower.number_before = borrower.number
             self.send(sender.id, held)
-        self.pump()
+        self.lend_and_recall()
 
-    def take_return(self, sender: Member, message: Return) -> None:
+    def apply_return(self, sender: Member, message: Return) -> None:
         """Free slots that a member gives back."""
-        b = self.ledger.borrowers_by_id.get(sender.id)
-        if b is not None and b.session == message.session:
-            self.ledger.take_return(b, message)
-            self.pump()
+        borrower = self.ledger.borrowers_by_id.get(sender.id)
+        if borrower is not None and borrower.session == message.session:
+            self.ledger.take_return(borrower, message)
+            self.lend_and_recall()
 
-    def pump(self) -> None:
+    def lend_and_recall(self) -> None:
         """Lend idle slots to those who lack them, if none here is before them; recall if short."""
         askers = self.ledger.askers()
         if not self.may_use():
@@ -146,22 +151,22 @@
         if not askers:
             self._recall_if_short()
             return
-        idle = self.idle() if self.lends else []
+        idle = self.idle() if self.is_lending else []
         granted: dict[str, list[SlotId]] = {}
         own = self.demand()
         reserved = own.waiting
         for entry in sorted(askers):
-            b = self.ledger.borrowers_by_id[entry[2]]
-            if reserved and self._is_first_here(own, Claim(entry[0], entry[1])):
+            borrower = self.ledger.borrowers_by_id[entry[2]]
+            if reserved and self._local_comes_first(own, Claim(entry[0], entry[1])):
                 idle = idle[reserved:]
                 reserved = 0
-            while b.lacks > 0 and self._lend_one(b, idle):
-                granted.setdefault(entry[2], []).append(self._last)
+            while borrower.lacks > 0 and self._lend_one(borrower, idle):
+                granted.setdefault(entry[2], []).append(self._last_lent)
         for member_id, slot_ids in granted.items():
             self._grant(member_id, slot_ids)
         self._recall_if_short()
 
-    def claim(self) -> Claim | None:
+    def first_claim(self) -> Claim | None:
         """Who is most urgent or has waited longest, here or elsewhere, None when nobody waits."""
         claims = [Claim(urgency, since) for urgency, since, _ in self.ledger.askers()]
         own = self.demand()
@@ -173,56 +178,58 @@
         """Take back what silent members held, lend and recall."""
         self.ledger.lapse_s = max(self.ledger.lapse_s, self.lease_s + self.hold_s())
         self.ledger.expire(self.clock.monotonic())
-        self.pump()
+        self.lend_and_recall()
 
     def _may_lend(self, slot_id: SlotId) -> bool:
         own = self.ownership
-        return self.lends and own.is_joined() and slot_id in own.usable
+        return self.is_lending and own.is_joined() and slot_id in own.usable
 
-    def _is_first_here(self, own: Demand, claim: Claim) -> bool:
+    def _local_comes_first(self, own: Demand, claim: Claim) -> bool:
         """Whether one who waits here comes before another; a small lead isn't worth a trip."""
         if own.urgency != claim.urgency:
             return own.urgency < claim.urgency
-        return self.clock.monotonic() - own.waited_s <= claim.since + FAIR_WAIT_S
+        return self.clock.monotonic() - own.waited_s <= claim.since + MIN_WAIT_LEAD_S
 
-    def _lend_one(self, b: Borrower, idle: list[tuple[SlotId, ExecutorView]]) -> bool:
-        excluded = b.ask.excluded if b.ask is not None else []
-        for at, (slot_id, view) in enumerate(idle):
+    def _lend_one(self, borrower: Borrower, idle: list[tuple[SlotId, ExecutorView]]) -> bool:
+        excluded = borrower.ask.excluded if borrower.ask is not None else []
+        for index, (slot_id, view) in enumerate(idle):
             if view.executor not in excluded:
-                del idle[at]
-                self.ledger.lend(b, slot_id)
-                self._last = slot_id
+                del idle[index]
+                self.ledger.lend(borrower, slot_id)
+                self._last_lent = slot_id
                 return True
         return False
 
     def _grant(self, member_id: str, slot_ids: list[SlotId]) -> None:
-        b = self.ledger.borrowers_by_id[member_id]
-        b.number += 1
-        grant = Grant(self.service, b.session, b.sent, b.number, masks_of(slot_ids))
-        b.grants.append(grant)
+        borrower = self.ledger.borrowers_by_id[member_id]
+        borrower.number += 1
+        grant = Grant(
+            self.service, borrower.session, borrower.sent, borrower.number, masks_of(slot_ids)
+        )
+        borrower.grants.append(grant)
         metrics.slots_lent.add(len(slot_ids))
         self.send(member_id, grant)
 
     def _recall_if_short(self) -> None:
         """Tell those who hold slots that others wait, again until none does."""
-        claim = self.claim()
-        if not self.ledger.lent or (claim is None and self.lends):
+        claim = self.first_claim()
+        if not self.ledger.lent or (claim is None and self.is_lending):
             return
-        if not self._recalling:
-            self._recalling = True
-            asyncio.get_running_loop().call_later(RECALL_EVERY_S, self._recall_again)
+        if not self._recall_scheduled:
+            self._recall_scheduled = True
+            asyncio.get_running_loop().call_later(RECALL_INTERVAL_S, self._repeat_recall)
         now = self.clock.monotonic()
-        if now - self._recalled_at < RECALL_EVERY_S:
+        if now - self._last_recall_at < RECALL_INTERVAL_S:
             return
-        self._recalled_at = now
-        urgency, since = claim if claim is not None and self.lends else Claim(-1, 0.0)
-        for member_id, b in self.ledger.borrowers_by_id.items():
-            if b.numbers_by_id:
+        self._last_recall_at = now
+        urgency, since = claim if claim is not None and self.is_lending else Claim(-1, 0.0)
+        for member_id, borrower in self.ledger.borrowers_by_id.items():
+            if borrower.numbers_by_id:
                 waited_ms = int((now - since) * 1000)
-                self.send(member_id, Recall(self.service, b.session, urgency, waited_ms))
+                self.send(member_id, Recall(self.service, borrower.session, urgency, waited_ms))
 
-    def _recall_again(self) -> None:
-        self._recalling = False
+    def _repeat_recall(self) -> None:
+        self._recall_scheduled = False
         self._recall_if_short()
 
     def _end_session(self, member_id: str, session: int, sent: int) -> None:
--- a/mustardgap/parts.py
+++ b/mustardgap/parts.py
@@ -22,7 +22,7 @@
 from .sessions import Sessions
 from .settings import Settings
 from .shares import FixedShares, LeastInFlight
-from .slots import DEFAULT_MAX_WAIT_S, Slots, Way
+from .slots import DEFAULT_MAX_WAIT_S, SharingPolicy, Slots
 from .states import State
 from .streams import Log
 from .timelines import Timeline
@@ -145,11 +145,11 @@
             timers=self.timers,
             max_wait_s=self._max_wait_s,
         )
-        self.slots.way = self._build_sharing()
+        self.slots.sharing = self._build_sharing()
         self.enrolment = Enrolment(
             log=self.log, members=self.members, settings=self.settings, timers=self.timers
         )
-        self.enrolment.follow(self.slots.way)
+        self.enrolment.follow(self.slots.sharing)
         self.keys = Keys(
             settings=self.settings,
             platform=self.platform,
@@ -173,7 +173,7 @@
             clock=clock,
         )
 
-    def _build_sharing(self) -> Way:
+    def _build_sharing(self) -> SharingPolicy:
         sharing = self.settings.requests.sharing
         if sharing == "fixed":
             return FixedShares(slots=self.slots, members=self.members)
--- a/mustardgap/shares.py
+++ b/mustardgap/shares.py
@@ -28,7 +28,7 @@
         """Take a free slot of this member's share, on the executor with the most left."""
         views = [v for v in self.slots.executors.candidates(service) if v.executor not in exclude]
         random.shuffle(views)
-        free = [(self._free(view), view) for view in views]
+        free = [(self._free_slots(view), view) for view in views]
         best, view = max(free, key=lambda f: len(f[0]), default=([], None))
         if view is None or not best:
             return None
@@ -39,14 +39,14 @@
         """Give a slot back."""
         self._used.discard(slot.id)
 
-    def want(self, service: str) -> None:
+    def demand_changed(self, service: str) -> None:
         """Do nothing: a share doesn't depend on who waits."""
 
     def stalled(self, service: str) -> bool:
         """Never: a share needs nobody's word."""
         return False
 
-    def _free(self, view: ExecutorView) -> list[SlotId]:
+    def _free_slots(self, view: ExecutorView) -> list[SlotId]:
         ranked = self.members.ranked(f"slots/{view.executor}")
         if self.members.me.id not in ranked:
             return []
@@ -68,11 +68,11 @@
         self.slots = slots
         self.gossiper = gossiper
         self.me = gossiper.members.me.id
-        self._own: Counter[str] = Counter()
-        self._by_member: dict[str, dict[str, int]] = {}
-        self._published: dict[str, int] = {}
-        gossiper.on_notice("load", self._take_load)
-        gossiper.members.on_change(self._changed)
+        self._own_counts: Counter[str] = Counter()
+        self._counts_by_member: dict[str, dict[str, int]] = {}
+        self._published_counts: dict[str, int] = {}
+        gossiper.on_notice("load", self._apply_load)
+        gossiper.members.on_change(self._on_member_change)
 
     def take(self, service: str, exclude: frozenset[str], deadline: float) -> Slot | None:
         """Take a slot of the less busy of two executors that seem to have one free."""
@@ -85,15 +85,15 @@
             return None
         pair = random.sample(free, min(2, len(free)))
         view = min(pair, key=lambda f: f[0])[1]
-        self._own[view.executor] += 1
-        slot_id = SlotId(view.executor, self._own[view.executor])
+        self._own_counts[view.executor] += 1
+        slot_id = SlotId(view.executor, self._own_counts[view.executor])
         return Slot(service, slot_id, view, self.slots.timers.clock.monotonic(), deadline)
 
     def give_back(self, slot: Slot) -> None:
         """Give a slot back."""
-        self._own[slot.executor.executor] -= 1
+        self._own_counts[slot.executor.executor] -= 1
 
-    def want(self, service: str) -> None:
+    def demand_changed(self, service: str) -> None:
         """Do nothing: counts are gossiped at their own pace."""
 
     def stalled(self, service: str) -> bool:
@@ -102,19 +102,19 @@
 
     def in_flight(self, executor: str) -> int:
         """Requests in flight at an executor, as far as is known here."""
-        others = sum(counts.get(executor, 0) for counts in self._by_member.values())
-        return self._own[executor] + others
+        others = sum(counts.get(executor, 0) for counts in self._counts_by_member.values())
+        return self._own_counts[executor] + others
 
     def publish(self) -> None:
         """Gossip this member's counts when they have changed."""
-        counts = {executor: n for executor, n in self._own.items() if n}
-        if counts != self._published:
-            self._published = counts
+        counts = {executor: n for executor, n in self._own_counts.items() if n}
+        if counts != self._published_counts:
+            self._published_counts = counts
             self.gossiper.publish("load", self.me, counts, ttl_s=LOAD_TTL_S)
 
-    def _take_load(self, key: str, value: Any, sender: Member) -> None:
-        self._by_member[key] = value
+    def _apply_load(self, key: str, value: Any, sender: Member) -> None:
+        self._counts_by_member[key] = value
 
-    def _changed(self, member: Member, old: Member | None) -> None:
-        if member.id in self._by_member and member.state.name in ("dead", "suspect"):
-            del self._by_member[member.id]
+    def _on_member_change(self, member: Member, old: Member | None) -> None:
+        if member.id in self._counts_by_member and member.state.name in ("dead", "suspect"):
+            del self._counts_by_member[member.id]
--- a/mustardgap/slots.py
+++ b/mustardgap/slots.py
@@ -11,7 +11,7 @@
 from .settings import Settings
 from .timers import Timers
 
-SWEEP_S = 0.1
+SWEEP_INTERVAL_S = 0.1
 SERVE_LOOKAHEAD = 8
 DEFAULT_MAX_WAIT_S = 2.0
 
@@ -29,9 +29,9 @@
     service: str
     id: SlotId
     executor: ExecutorView
-    taken: float
+    taken_at: float
     deadline: float
-    lent: int = 0
+    use_number: int = 0
 
 
 class Demand(NamedTuple):
@@ -51,7 +51,7 @@
         """The executors of a service that may be chosen now."""
 
 
-class Way(Protocol):
+class SharingPolicy(Protocol):
     """A way of sharing an executor's slots among the entry hosts."""
 
     def take(self, service: str, exclude: frozenset[str], deadline: float) -> Slot | None:
@@ -60,7 +60,7 @@
     def give_back(self, slot: Slot) -> None:
         """Give a slot back."""
 
-    def want(self, service: str) -> None:
+    def demand_changed(self, service: str) -> None:
         """Note that the queue of a service has changed."""
 
     def stalled(self, service: str) -> bool:
@@ -89,7 +89,7 @@
         self.timers = timers
         self.max_wait_s = max_wait_s or (lambda service: DEFAULT_MAX_WAIT_S)
         self.queues_by_service: dict[str, WaitQueue] = {}
-        self.way: Way
+        self.sharing: SharingPolicy
 
     async def acquire(
         self,
@@ -112,13 +112,13 @@
         queue = self._queue(service)
         if deadline <= now:
             raise queue.refused(status_codes.DEADLINE_BEFORE_RUN)
-        exclude = self._exclude(service, exclude, queue)
+        exclude = self._effective_exclude(service, exclude, queue)
         urgency = min(max(urgency, 0), LEAST_URGENT)
         if not queue.ahead(urgency):
-            slot = self.way.take(service, exclude, deadline)
+            slot = self.sharing.take(service, exclude, deadline)
             if slot is not None:
-                return self._count(slot, queue, 0.0)
-        if self.way.stalled(service):
+                return self._count_served(slot, queue, 0.0)
+        if self.sharing.stalled(service):
             raise queue.refused(status_codes.NOT_CURRENT, "no lease of slots")
         waiter = Waiter(
             urgency=urgency,
@@ -128,15 +128,15 @@
             since=now,
         )
         queue.push(waiter)
-        self.way.want(service)
+        self.sharing.demand_changed(service)
         return await self._wait(queue, waiter)
 
     def release(self, slot: Slot) -> None:
         """Give a slot back, once."""
         queue = self._queue(slot.service)
-        queue.held(self.timers.clock.monotonic() - slot.taken)
+        queue.held(self.timers.clock.monotonic() - slot.taken_at)
         metrics.slots_used.add(-1, {"service": slot.service})
-        self.way.give_back(slot)
+        self.sharing.give_back(slot)
         self.serve(slot.service)
 
     def waiting(self, service: str) -> int:
@@ -147,7 +147,7 @@
     async def run(self) -> None:
         """Refuse in time those who wait in vain, until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             for service, queue in self.queues_by_service.items():
                 self._sweep(service, queue)
 
@@ -163,7 +163,7 @@
                 # more; the slot would be lost, and whoever released it be told of an error.
                 queue.remove(waiter)
                 continue
-            slot = self.way.take(service, waiter.exclude, waiter.deadline)
+            slot = self.sharing.take(service, waiter.exclude, waiter.deadline)
             if slot is None:
                 passed_over += 1
                 if passed_over >= SERVE_LOOKAHEAD or not waiter.exclude:
@@ -171,7 +171,7 @@
                 continue
             queue.remove(waiter)
             waiter.future.set_result(slot)
-        self.way.want(service)
+        self.sharing.demand_changed(service)
 
     def demand(self, service: str) -> Demand:
         """What waits for a service's slots here."""
@@ -186,26 +186,26 @@
     async def _wait(self, queue: WaitQueue, waiter: Waiter) -> Slot:
         loop = asyncio.get_running_loop()
         left_s = waiter.until - self.timers.clock.monotonic()
-        timer = loop.call_later(left_s, self._give_up, queue, waiter)
+        timer = loop.call_later(left_s, self._time_out, queue, waiter)
         try:
             slot: Slot = await waiter.future
         except asyncio.CancelledError:
             # The slot may have been handed over in the same turn in which the caller went away.
             if waiter.future.done() and not waiter.future.cancelled():
-                self._take_back(queue, waiter.future)
+                self._return_undelivered(queue, waiter.future)
             raise
         finally:
             timer.cancel()
             queue.remove(waiter)
-            self.way.want(queue.service)
-        return self._count(slot, queue, self.timers.clock.monotonic() - waiter.since)
+            self.sharing.demand_changed(queue.service)
+        return self._count_served(slot, queue, self.timers.clock.monotonic() - waiter.since)
 
-    def _take_back(self, queue: WaitQueue, future: asyncio.Future[Any]) -> None:
+    def _return_undelivered(self, queue: WaitQueue, future: asyncio.Future[Any]) -> None:
         if future.exception() is None:
-            self.way.give_back(future.result())
+            self.sharing.give_back(future.result())
             self.serve(queue.service)
 
-    def _give_up(self, queue: WaitQueue, waiter: Waiter) -> None:
+    def _time_out(self, queue: WaitQueue, waiter: Waiter) -> None:
         if waiter.future.done():
             return
         queue.remove(waiter)
@@ -216,7 +216,7 @@
     def _sweep(self, service: str, queue: WaitQueue) -> None:
         if not len(queue):
             return
-        if self.way.stalled(service):
+        if self.sharing.stalled(service):
             for waiter in list(queue):
                 queue.remove(waiter)
                 if not waiter.future.done():
@@ -225,7 +225,9 @@
         queue.shed()
         self.serve(service)
 
-    def _exclude(self, service: str, exclude: Collection[str], queue: WaitQueue) -> frozenset[str]:
+    def _effective_exclude(
+        self, service: str, exclude: Collection[str], queue: WaitQueue
+    ) -> frozenset[str]:
         views = self.executors.candidates(service)
         if not views:
             raise queue.refused(status_codes.NO_EXECUTOR)
@@ -233,7 +235,7 @@
             return frozenset()
         return frozenset(exclude)
 
-    def _count(self, slot: Slot, queue: WaitQueue, waited_s: float) -> Slot:
+    def _count_served(self, slot: Slot, queue: WaitQueue, waited_s: float) -> Slot:
         queue.served(waited_s)
         metrics.slots_used.add(1, {"service": slot.service})
         return slot
--- a/tools/fake_fleet.py
+++ b/tools/fake_fleet.py
@@ -182,7 +182,7 @@
             timers=self.timers,
             max_wait_s=lambda service: fleet.max_wait_s,
         )
-        self.slots.way = self.way = self._way(way)
+        self.slots.sharing = self.way = self._way(way)
         self.tasks: list[asyncio.Task[None]] = []
         self.run()
 
