--- a/features/steps/slots_steps.py
+++ b/features/steps/slots_steps.py
@@ -24,42 +24,42 @@
 
 
 @given("slots are shared by {entries:d} entry hosts on a network that is {network}")
-def share(context, entries, network):
+def share_slots(context, entries, network):
     context.entries, context.network = entries, network
 
 
-@when("slots are asked for while entry hosts {happenings}")
-def fuzz(context, happenings):
+@when("slots are requested while entry hosts {entry_events}")
+def run_machine(context, entry_events):
     class Machine(SlotsMachine):
         entries_count = context.entries
         network_kind = context.network
-        events = happenings
+        events = entry_events
 
         def teardown(self):
             try:
                 if hasattr(self, "loop") and sys.exc_info()[0] is None:
                     self.finish()
-                    context.given += self.given
+                    context.granted += self.granted
             finally:
                 super().teardown()
 
-    context.given = 0
+    context.granted = 0
     run_state_machine_as_test(Machine, settings=BOUNDED)
 
 
 @then("slots in use never exceeded 8 at any executor")
-def see_limit(context):
+def check_limit(context):
     # Each start of a request asserted it; here only that there was something to assert on.
-    assert context.given > 100, context.given
+    assert context.granted > 100, context.granted
 
 
-@then("slots all came back when the trouble was over")
-def see_return(context):
-    assert context.given > 100
+@then("slots were all returned after the faults ended")
+def check_all_returned(context):
+    assert context.granted > 100
 
 
-@when("slots are left to {few:d} entry hosts that {have} heard of the others' new runs")
-def leave_to_few(context, few, have):
+@when("the network isolates {few:d} entry hosts that {have} heard of the others' new runs")
+def isolate_few(context, few, have):
     class Machine(SlotsMachine):
         entries_count = context.entries
         network_kind = context.network
@@ -81,42 +81,42 @@
     entry.members.renew()
 
 
-@then("slots are refused by those {few:d}, which know no majority")
-def see_no_majority(context, few):
+@then("slots are refused by those {few:d}, which reach no majority")
+def check_no_majority(context, few):
     async def refusal(entry):
         try:
             await entry.slots.acquire("s0", deadline=entry.fleet.clock.monotonic() + 1)
         except SlotRefused as exc:
             return exc.outcome.code.name
-        return "given"
+        return "granted"
 
     codes = [context.machine.loop.run_until_complete(refusal(e)) for e in context.few]
     context.machine.teardown()
     assert codes == ["not_current"] * few, codes
 
 
-@then("slots' entry hosts counted once each, by their latest run")
-def see_one_run(context):
+@then("entry hosts were counted once each, by their latest run")
+def check_one_run(context):
     assert all(set(live.values()) == {1} for live in context.live), context.live
 
 
-async def offer(context, loads, patience_s, seconds=6.0):
+async def offer_load(context, loads, max_wait_s, seconds=6.0):
     """Offer requests of several services at shares of their capacity, urgency 1 or 8."""
     loop = asyncio.get_running_loop()
     executors = FakeExecutors(services=2, executors=2)
     network = FakeNetwork(delay_s=lambda: 0.0005)
     fleet = Fleet(
-        network=network, executors=executors, clock=VirtualClock(loop=loop), max_wait_s=patience_s
+        network=network, executors=executors, clock=VirtualClock(loop=loop), max_wait_s=max_wait_s
     )
     entries = [fleet.add(f"e{i}") for i in range(context.entries)]
     await asyncio.sleep(5)
     rng = random.Random(7)
     context.waits, context.refusals, context.outcomes = {}, [], Counter()
 
-    async def one(service):
+    async def request(service):
         urgency, asked = rng.choice((1, 8)), loop.time()
         entry = rng.choice(entries)
-        deadline = asked + patience_s + 2 * HOLD_S
+        deadline = asked + max_wait_s + 2 * HOLD_S
         try:
             slot = await entry.slots.acquire(service, deadline=deadline, urgency=urgency)
         except SlotRefused as exc:
@@ -132,28 +132,28 @@
         end, tasks = loop.time() + seconds, []
         while loop.time() < end:
             await asyncio.sleep(rng.expovariate(load * 16 / HOLD_S))
-            tasks.append(asyncio.create_task(one(service)))
+            tasks.append(asyncio.create_task(request(service)))
         await asyncio.gather(*tasks)
 
     await asyncio.gather(*(stream(service, load) for service, load in loads.items()))
 
 
-@when("slots are asked for at {load:g} times capacity with {patience:g} s of patience")
-def overload(context, load, patience):
+@when("slots are requested at {load:g} times capacity with a maximum wait of {max_wait:g} s")
+def overload(context, load, max_wait):
     random.seed(3)
-    run(offer(context, {"s0": load}, patience))
+    run(offer_load(context, {"s0": load}, max_wait))
 
 
-@then("slots refused were refused within {within:g} s, with a spread time to come back")
-def see_refusals(context, within):
+@then("slots were refused within {within:g} s, with jittered retry times")
+def check_refusals(context, within):
     assert context.refusals
     assert max(waited for waited, _ in context.refusals) <= within + 0.01
     times = [outcome.retry_after for _, outcome in context.refusals]
     assert min(times) >= 0.5 and len({round(t, 3) for t in times}) > len(times) / 2
 
 
-@then("slots were given to the more urgent first")
-def see_urgency(context):
+@then("slots were granted to more urgent requests first")
+def check_urgency(context):
     share = {
         urgency: context.outcomes["s0", urgency, True]
         / (context.outcomes["s0", urgency, True] + context.outcomes["s0", urgency, False])
@@ -162,24 +162,22 @@
     assert share[1] > share[8] + 0.2, share
 
 
-@when("slots of service s0 are asked for at {much:g} times capacity and of s1 at {little:g}")
+@when("slots of service s0 are requested at {much:g} times capacity and of s1 at {little:g}")
 def overload_one(context, much, little):
     random.seed(3)
-    run(offer(context, {"s0": much, "s1": little}, 1.0))
+    run(offer_load(context, {"s0": much, "s1": little}, 1.0))
 
 
-@then("slots of service s1 were given as if it were alone")
-def see_isolation(context):
+@then("slots of service s1 were granted as if it were alone")
+def check_isolation(context):
     refused = context.outcomes["s1", 1, False] + context.outcomes["s1", 8, False]
     assert context.outcomes["s0", 8, False] > 100 and not refused, context.outcomes
     assert sum(context.waits["s1"]) / len(context.waits["s1"]) < 0.02
 
 
-@when(
-    "slots of service s0 are all taken, and the first of two that wait hangs up as one is released"
-)
-def hang_up(context):
-    async def play():
+@when("slots of s0 are all taken, and the first of two waiters is cancelled as one is released")
+def cancel_waiter(context):
+    async def run_scenario():
         loop = asyncio.get_running_loop()
         executors = FakeExecutors(services=1, executors=1)
         network = FakeNetwork(delay_s=lambda: 0.0005)
@@ -195,11 +193,11 @@
         waiting[0].cancel()
         entry.slots.release(taken[0])
         async with asyncio.timeout(1):
-            context.next = await waiting[1]
+            context.next_slot = await waiting[1]
 
-    run(play())
+    run(run_scenario())
 
 
-@then("slots' next waiter has got it, and the released one failed nobody")
-def next_has_it(context):
-    assert context.next.service == "s0", context.next
+@then("the released slot went to the next waiter, and the release raised no error")
+def check_next_waiter(context):
+    assert context.next_slot.service == "s0", context.next_slot
--- a/tools/slots_machine.py
+++ b/tools/slots_machine.py
@@ -16,8 +16,8 @@
 
 SERVICE = "s0"
 HOLD_S = 4.0
-DETECT_S = (0.3, 4.0)
-HEAL_S = 45.0
+DETECTION_RANGE_S = (0.3, 4.0)
+RECOVERY_S = 45.0
 
 
 class SlotsMachine(RuleBasedStateMachine):
@@ -26,7 +26,7 @@
     entries_count: ClassVar[int] = 8
     network_kind: ClassVar[str] = "orderly"
     events: ClassVar[str] = ""
-    way: ClassVar[str] = "lending"
+    sharing: ClassVar[str] = "lending"
 
     @initialize(seed=st.integers(0, 2**32))
     def start(self, seed: int) -> None:
@@ -41,7 +41,7 @@
         self.network.in_order = self.network_kind != "reordering"
         self.frozen: dict[str, Entry] = {}
         self.tasks: list[asyncio.Task[None]] = []
-        self.given = 0
+        self.granted = 0
         self.refused: Counter[str] = Counter()
         self._run(self._start())
         if self.network_kind == "lossy":
@@ -60,16 +60,16 @@
         self.loop.close()
 
     @rule(count=st.integers(10, 60), hold_s=st.floats(0.01, 6.0))
-    def ask(self, count: int, hold_s: float) -> None:
+    def acquire_slots(self, count: int, hold_s: float) -> None:
         """Ask for slots at entry hosts."""
 
-        async def ask() -> None:
+        async def acquire() -> None:
             for _ in range(count):
-                entry = self.random.choice(self._awake())
+                entry = self.random.choice(self._running_entries())
                 hold = self.random.uniform(0.01, hold_s)
-                self.tasks.append(asyncio.create_task(self._use(entry, hold)))
+                self.tasks.append(asyncio.create_task(self._use_slot(entry, hold)))
 
-        self._run(ask())
+        self._run(acquire())
 
     @rule(seconds=st.sampled_from([0.01, 0.2, 0.7, 1.6, 3.5, 8.0, 15.0]))
     def wait(self, seconds: float) -> None:
@@ -77,30 +77,30 @@
         self._run(asyncio.sleep(seconds))
 
     @rule(seconds=st.sampled_from([1.0, 3.0, 9.0, 14.0]), hold_s=st.sampled_from([0.05, 0.5, 4.0]))
-    def press(self, seconds: float, hold_s: float) -> None:
+    def saturate(self, seconds: float, hold_s: float) -> None:
         """Ask for slots at all entry hosts for a while."""
 
-        async def press() -> None:
+        async def acquire() -> None:
             end = self.loop.time() + seconds
             while self.loop.time() < end:
-                for entry in self._awake():
+                for entry in self._running_entries():
                     for _ in range(4):
                         hold = self.random.uniform(0.01, hold_s)
-                        self.tasks.append(asyncio.create_task(self._use(entry, hold)))
+                        self.tasks.append(asyncio.create_task(self._use_slot(entry, hold)))
                 await asyncio.sleep(0.3)
 
-        self._run(press())
+        self._run(acquire())
 
-    @precondition(lambda self: "killed" in self.events and len(self._awake()) > 2)
+    @precondition(lambda self: "killed" in self.events and len(self._running_entries()) > 2)
     @rule(data=st.data(), replaced_s=st.floats(0.1, 10.0), same=st.booleans())
     def kill(self, data: Any, replaced_s: float, same: bool) -> None:
         """Kill an entry host; another takes its place under the same name or a new one."""
-        entry = data.draw(st.sampled_from(self._awake()))
+        entry = data.draw(st.sampled_from(self._running_entries()))
         self._run(self._kill(entry, replaced_s, same))
 
-    @precondition(lambda self: "parted" in self.events)
+    @precondition(lambda self: "partitioned" in self.events)
     @rule(data=st.data())
-    def part(self, data: Any) -> None:
+    def partition(self, data: Any) -> None:
         """Cut the network in two parts, of which one may have lost the log as well."""
         alive = [e for e in self.fleet.entries if e.alive]
         some = data.draw(st.sets(st.sampled_from(alive), min_size=1, max_size=len(alive)))
@@ -115,9 +115,9 @@
             for b in alive:
                 if (a in some) != (b in some):
                     self.network.cut_pairs.add(frozenset((a.members.me.host, b.members.me.host)))
-                    self._later(DETECT_S, self._suspect_if_cut, a, b)
+                    self._later(DETECTION_RANGE_S, self._suspect_if_cut, a, b)
 
-    @precondition(lambda self: "parted" in self.events and self.network.cut_pairs)
+    @precondition(lambda self: "partitioned" in self.events and self.network.cut_pairs)
     @rule()
     def heal(self) -> None:
         """Mend the network."""
@@ -125,49 +125,49 @@
         self.log.cut_hosts.clear()
         for a in self.fleet.entries:
             for b in self.fleet.entries:
-                self._later((0.1, 1.0), self._meet, a, b)
+                self._later((0.1, 1.0), self._introduce_if_reachable, a, b)
 
     @precondition(lambda self: "log" in self.events)
     @rule(seconds=st.sampled_from([1.0, 3.0, 14.0]), hold_s=st.sampled_from([0.05, 4.0]))
     def lose_log(self, seconds: float, hold_s: float) -> None:
         """Let the log be out for all while slots are asked for."""
         self.log.down = True
-        self.press(seconds, hold_s)
+        self.saturate(seconds, hold_s)
 
     @precondition(lambda self: "log" in self.events)
     @rule()
-    def find_log(self) -> None:
+    def end_log_outage(self) -> None:
         """Let the log come back."""
         self.log.down = False
 
-    @precondition(lambda self: "frozen" in self.events and len(self._awake()) > 1)
+    @precondition(lambda self: "frozen" in self.events and len(self._running_entries()) > 1)
     @rule(data=st.data())
     def freeze(self, data: Any) -> None:
         """Stop an entry host's process."""
-        entry = data.draw(st.sampled_from(self._awake()))
+        entry = data.draw(st.sampled_from(self._running_entries()))
         self.frozen[entry.members.me.id] = entry
         entry.freeze()
         for other in self.fleet.entries:
             self._later((3.0, 5.0), self._suspect_if_frozen, other, entry)
 
-    @precondition(lambda self: "frozen" in self.events and len(self._awake()) > 2)
+    @precondition(lambda self: "frozen" in self.events and len(self._running_entries()) > 2)
     @rule(data=st.data(), seconds=st.sampled_from([2.0, 9.0, 25.0]))
-    def sleep_through(self, data: Any, seconds: float) -> None:
+    def stay_frozen_under_load(self, data: Any, seconds: float) -> None:
         """Stop an entry host that has idle slots, let others use all they can, wake it."""
-        self.press(1.0, 0.05)
+        self.saturate(1.0, 0.05)
         self.freeze(data)
-        self.press(seconds, 4.0)
+        self.saturate(seconds, 4.0)
         self.thaw()
 
-    @precondition(lambda self: "parted" in self.events and len(self._awake()) > 2)
+    @precondition(lambda self: "partitioned" in self.events and len(self._running_entries()) > 2)
     @rule(data=st.data(), seconds=st.sampled_from([6.0, 14.0, 25.0]))
-    def part_and_heal(self, data: Any, seconds: float) -> None:
+    def partition_and_heal(self, data: Any, seconds: float) -> None:
         """Part the network, use all that can be had on both sides, mend it."""
-        self.press(1.0, 0.5)
-        self.part(data)
-        self.press(seconds, 4.0)
+        self.saturate(1.0, 0.5)
+        self.partition(data)
+        self.saturate(seconds, 4.0)
         self.heal()
-        self.press(2.0, 4.0)
+        self.saturate(2.0, 4.0)
 
     @precondition(lambda self: self.frozen)
     @rule()
@@ -183,24 +183,24 @@
         self.log.down = False
         self.network.lost_ratio = 0.0
         self.network.in_order = self.orderly = True
-        self._run(asyncio.sleep(HEAL_S))
+        self._run(asyncio.sleep(RECOVERY_S))
         assert not any(self.executors.running.values()), self.executors.running
-        self._run(self._use_all())
+        self._run(self._use_all_slots())
 
     async def _start(self) -> None:
         self.fleet = Fleet(
             network=self.network,
             executors=self.executors,
-            way=self.way,
+            way=self.sharing,
             clock=VirtualClock(loop=self.loop),
             hold_s=HOLD_S,
         )
         self.log = self.fleet.log
         for i in range(self.entries_count):
-            self._follow(self.fleet.add(f"e{i}"))
+            self._track_incarnation(self.fleet.add(f"e{i}"))
         await asyncio.sleep(5)
 
-    async def _use(self, entry: Entry, hold_s: float) -> None:
+    async def _use_slot(self, entry: Entry, hold_s: float) -> None:
         asked, naps = self.loop.time(), entry.naps
         try:
             slot = await entry.slots.acquire(SERVICE, deadline=asked + HOLD_S)
@@ -216,7 +216,7 @@
             # In a process that doesn't run, no timer hands over a slot either.
             entry.slots.release(slot)
             return
-        self.given += 1
+        self.granted += 1
         executor = slot.executor.executor
         self.executors.start(executor)
         running = self.executors.running[executor]
@@ -227,12 +227,12 @@
         if entry.alive:
             entry.slots.release(slot)
 
-    async def _use_all(self) -> None:
+    async def _use_all_slots(self) -> None:
         self.refused.clear()
         total = sum(v.slots for v in self.executors.candidates(SERVICE))
         for _ in range(total * 2):
-            entry = self.random.choice(self._awake())
-            self.tasks.append(asyncio.create_task(self._use(entry, 3.5)))
+            entry = self.random.choice(self._running_entries())
+            self.tasks.append(asyncio.create_task(self._use_slot(entry, 3.5)))
         for _ in range(19):
             await asyncio.sleep(0.1)
             if sum(self.executors.running.values()) == total:
@@ -245,22 +245,22 @@
         gone = entry.members.me
         del self.network.entries_by_id[gone.id]
         for other in self.fleet.entries:
-            self._later(DETECT_S, suspect, other, gone)
-            self._later((16.0, 20.0), self._dead, other, gone.id)
+            self._later(DETECTION_RANGE_S, suspect, other, gone)
+            self._later((16.0, 20.0), self._mark_dead, other, gone.id)
         host = gone.host if same else f"{gone.host}x"
         self.loop.call_later(replaced_s, self._replace, host, gone.id)
 
     def _replace(self, host: str, gone: str) -> None:
         known = [e for e in self.fleet.entries if e.alive]
         entry = self.fleet.add(host, introduced=False)
-        self._follow(entry)
+        self._track_incarnation(entry)
         for other in known:
-            self._later((0.05, 3.0), self._meet, other, entry)
-            self._later((0.05, 3.0), self._meet, entry, other)
+            self._later((0.05, 3.0), self._introduce_if_reachable, other, entry)
+            self._later((0.05, 3.0), self._introduce_if_reachable, entry, other)
             if host == gone.split("@")[0]:
-                self._later((0.05, 3.0), self._dead, other, gone)
+                self._later((0.05, 3.0), self._mark_dead, other, gone)
 
-    def _meet(self, entry: Entry, other: Entry) -> None:
+    def _introduce_if_reachable(self, entry: Entry, other: Entry) -> None:
         cut = self.network.is_cut(entry.members.me.id, other.members.me.id)
         if entry is other or cut or not (entry.alive and other.alive):
             return
@@ -268,12 +268,12 @@
             return
         introduce(entry, other)
 
-    def _dead(self, entry: Entry, member_id: str) -> None:
+    def _mark_dead(self, entry: Entry, member_id: str) -> None:
         m = entry.members.by_id.get(member_id)
         if m is not None and m.state is not MemberState.live:
             entry.members._put(m._replace(state=MemberState.dead))
 
-    def _follow(self, entry: Entry) -> None:
+    def _track_incarnation(self, entry: Entry) -> None:
         """Have an entry host known under its new incarnation when it starts anew."""
 
         def changed(m: Member, old: Member | None) -> None:
@@ -282,7 +282,7 @@
             self.network.entries_by_id.pop(m.id, None)
             self.network.entries_by_id[entry.members.me.id] = entry
             for other in self.fleet.entries:
-                self._later((0.05, 3.0), self._meet, other, entry)
+                self._later((0.05, 3.0), self._introduce_if_reachable, other, entry)
 
         entry.members.on_change(changed)
 
@@ -296,20 +296,20 @@
 
     def _thaw(self, entry: Entry) -> None:
         del self.frozen[entry.members.me.id]
-        self._run(self._wake(entry))
+        self._run(self._resume(entry))
         for other in self.fleet.entries:
-            self._later((0.1, 1.0), self._meet, other, entry)
+            self._later((0.1, 1.0), self._introduce_if_reachable, other, entry)
 
-    async def _wake(self, entry: Entry) -> None:
+    async def _resume(self, entry: Entry) -> None:
         """Let an entry host go on; callers come before it has dealt with anything else."""
         held_back, entry.peers.held_back = entry.peers.held_back, []
         for _ in range(10):
-            self.tasks.append(asyncio.create_task(self._use(entry, 1.0)))
+            self.tasks.append(asyncio.create_task(self._use_slot(entry, 1.0)))
         await asyncio.sleep(0)
         entry.peers.held_back = held_back
         entry.thaw()
 
-    def _awake(self) -> list[Entry]:
+    def _running_entries(self) -> list[Entry]:
         return [e for e in self.fleet.entries if e.alive and e.members.me.id not in self.frozen]
 
     def _delay(self) -> float:
