--- a/features/steps/slots_steps.py
+++ b/features/steps/slots_steps.py
@@ -73,7 +73,7 @@
     if have == "have":
         machine._run(asyncio.sleep(6))
     context.live = [Counter(m.host for m in e.members.live()) for e in context.few]
-    machine.cut(set(context.few), rest, off=context.few)
+    machine.disconnect(set(context.few), rest, without_log=context.few)
     machine._run(asyncio.sleep(10))
 
 
--- a/tools/slots_machine.py
+++ b/tools/slots_machine.py
@@ -105,11 +105,11 @@
         alive = [e for e in self.fleet.entries if e.alive]
         some = data.draw(st.sets(st.sampled_from(alive), min_size=1, max_size=len(alive)))
         rest = [e for e in alive if e not in some]
-        self.cut(some, rest, off=self.random.choice([[], rest, list(some)]))
+        self.disconnect(some, rest, without_log=self.random.choice([[], rest, list(some)]))
 
-    def cut(self, some: set[Entry], rest: list[Entry], *, off: list[Entry]) -> None:
+    def disconnect(self, some: set[Entry], rest: list[Entry], *, without_log: list[Entry]) -> None:
         """Cut some from the rest, and those who are off from the log."""
-        self.log.cut_hosts.update(e.members.me.host for e in off)
+        self.log.cut_hosts.update(e.members.me.host for e in without_log)
         alive = [e for e in self.fleet.entries if e in some or e in rest]
         for a in alive:
             for b in alive:
