--- a/features/steps/requests_endings_steps.py
+++ b/features/steps/requests_endings_steps.py
@@ -218,7 +218,7 @@
         self._ends_by_step = ends_by_step
         self.readiness = SimpleNamespace(stop=self._end_readiness)
         self.parts.timeline = callers.timeline
-        self.parts.slots = SimpleNamespace(way=None)
+        self.parts.slots = SimpleNamespace(sharing=None)
         for step in STOP_STEPS[1:]:
             part, method = step.split(".")
             if not hasattr(self.parts, part):
