--- a/mustardgap/slots.py
+++ b/mustardgap/slots.py
@@ -1,4 +1,4 @@
-"""Slots of executors, shared with the other entry hosts: waiting for one and giving it back."""
+"""Acquires and releases slots of executors, which all entry hosts share."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -11,31 +11,31 @@
 from .settings import Settings
 from .timers import Timers
 
-SWEEP_S = 0.1
+SWEEP_INTERVAL_S = 0.1
 SERVE_LOOKAHEAD = 8
 DEFAULT_MAX_WAIT_S = 2.0
 
 
 class SlotId(NamedTuple):
-    """One slot of one executor."""
+    """Identifies one slot of one executor."""
 
     executor: str
     position: int
 
 
 class Slot(NamedTuple):
-    """A slot of an executor; it may be used until ``deadline``, which is monotonic."""
+    """An acquired slot; it may be used until the monotonic time ``deadline``."""
 
     service: str
     id: SlotId
     executor: ExecutorView
-    taken: float
+    taken_at: float
     deadline: float
-    lent: int = 0
+    use_number: int = 0
 
 
 class Demand(NamedTuple):
-    """What waits for a service's slots at this entry host."""
+    """The number of requests that wait for a service's slots here, and details of the first one."""
 
     waiting: int
     urgency: int
@@ -45,35 +45,35 @@
 
 
 class HasCandidates(Protocol):
-    """Which executors may be chosen."""
+    """Knows which executors may be chosen."""
 
     def candidates(self, service: str) -> list[ExecutorView]:
-        """The executors of a service that may be chosen now."""
+        """Return the executors of a service that may be chosen now."""
 
 
-class Way(Protocol):
-    """A way of sharing an executor's slots among the entry hosts."""
+class SharingPolicy(Protocol):
+    """Shares executors' slots among the entry hosts."""
 
     def take(self, service: str, exclude: frozenset[str], deadline: float) -> Slot | None:
-        """Take a slot that is free for this entry host now."""
+        """Take a slot that this entry host may use now, or return None."""
 
     def give_back(self, slot: Slot) -> None:
         """Give a slot back."""
 
-    def want(self, service: str) -> None:
-        """Note that the queue of a service has changed."""
+    def demand_changed(self, service: str) -> None:
+        """Handle a change of a service's queue."""
 
     def stalled(self, service: str) -> bool:
-        """Whether nothing can be had for now, however long the queue."""
+        """Return whether no slot is expected soon, so that waiting is useless."""
 
 
 class Slots:
-    """Hands out executors' slots; what can't be had now is waited for in urgency's order.
+    """Assigns executors' slots to requests, which wait in order of urgency.
 
     :param settings: the daemon's settings.
     :param executors: which executors may be chosen.
     :param timers: the timer service.
-    :param max_wait_s: a function that gives the longest wait a service's profile allows.
+    :param max_wait_s: returns the longest wait in seconds that a service's profile allows.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self.timers = timers
         self.max_wait_s = max_wait_s or (lambda service: DEFAULT_MAX_WAIT_S)
         self.queues_by_service: dict[str, WaitQueue] = {}
-        self.way: Way
+        self.sharing: SharingPolicy
 
     async def acquire(
         self,
@@ -104,21 +104,21 @@
         :param service: the service.
         :param deadline: the monotonic time at which the caller gives up.
         :param urgency: 0 for the most urgent to 9 for the least.
-        :param exclude: executors not to go to, unless there are no others.
+        :param exclude: executors to avoid, unless there are no others.
         :return: the slot, to be given back with ``release``.
-        :raises SlotRefused: with the outcome, at once when waiting is hopeless.
+        :raises SlotRefused: with the outcome, at once if the wait would be too long.
         """
         now = self.timers.clock.monotonic()
         queue = self._queue(service)
         if deadline <= now:
             raise queue.make_refusal(status_codes.DEADLINE_BEFORE_RUN)
-        exclude = self._exclude(service, exclude, queue)
+        exclude = self._effective_exclude(service, exclude, queue)
         urgency = min(max(urgency, 0), LEAST_URGENT)
         if not queue.ahead(urgency):
-            slot = self.way.take(service, exclude, deadline)
+            slot = self.sharing.take(service, exclude, deadline)
             if slot is not None:
-                return self._count(slot, queue, 0.0)
-        if self.way.stalled(service):
+                return self._count_served(slot, queue, 0.0)
+        if self.sharing.stalled(service):
             raise queue.make_refusal(status_codes.NOT_CURRENT, "no lease of slots")
         waiter = Waiter(
             urgency=urgency,
@@ -128,42 +128,42 @@
             since=now,
         )
         queue.push(waiter)
-        self.way.want(service)
+        self.sharing.demand_changed(service)
         return await self._wait(queue, waiter)
 
     def release(self, slot: Slot) -> None:
-        """Give a slot back, once."""
+        """Give a slot back; call it once for each slot."""
         queue = self._queue(slot.service)
-        queue.record_hold(self.timers.clock.monotonic() - slot.taken)
+        queue.record_hold(self.timers.clock.monotonic() - slot.taken_at)
         metrics.slots_used.add(-1, {"service": slot.service})
-        self.way.give_back(slot)
+        self.sharing.give_back(slot)
         self.serve(slot.service)
 
     def waiting(self, service: str) -> int:
-        """How many requests of a service wait here."""
+        """Return how many requests of a service wait here."""
         queue = self.queues_by_service.get(service)
         return len(queue) if queue is not None else 0
 
     async def run(self) -> None:
-        """Refuse in time those who wait in vain, until cancelled."""
+        """Refuse requests that would wait too long, until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             for service, queue in self.queues_by_service.items():
                 self._sweep(service, queue)
 
     def serve(self, service: str) -> None:
-        """Hand what is free to those who wait."""
+        """Assign free slots to waiting requests."""
         queue = self.queues_by_service.get(service)
         if queue is None or not len(queue):
             return
         passed_over = 0
         for waiter in list(queue):
             if waiter.future.done():
-                # Its caller has hung up in this same turn of the loop, and it can't take a slot any
-                # more; the slot would be lost, and whoever released it be told of an error.
+                # The waiter was cancelled in this loop iteration and can't accept a slot: the slot
+                # would be lost, and the error would reach the request that released it.
                 queue.remove(waiter)
                 continue
-            slot = self.way.take(service, waiter.exclude, waiter.deadline)
+            slot = self.sharing.take(service, waiter.exclude, waiter.deadline)
             if slot is None:
                 passed_over += 1
                 if passed_over >= SERVE_LOOKAHEAD or not waiter.exclude:
@@ -171,10 +171,10 @@
                 continue
             queue.remove(waiter)
             waiter.future.set_result(slot)
-        self.way.want(service)
+        self.sharing.demand_changed(service)
 
     def demand(self, service: str) -> Demand:
-        """What waits for a service's slots here."""
+        """Return the demand for a service's slots here."""
         queue = self.queues_by_service.get(service)
         head = queue.head() if queue is not None else None
         if queue is None or head is None:
@@ -186,26 +186,26 @@
     async def _wait(self, queue: WaitQueue, waiter: Waiter) -> Slot:
         loop = asyncio.get_running_loop()
         left_s = waiter.until - self.timers.clock.monotonic()
-        timer = loop.call_later(left_s, self._give_up, queue, waiter)
+        timer = loop.call_later(left_s, self._time_out, queue, waiter)
         try:
             slot: Slot = await waiter.future
         except asyncio.CancelledError:
-            # The slot may have been handed over in the same turn in which the caller went away.
+            # The slot may have been assigned in the loop iteration of the cancellation.
             if waiter.future.done() and not waiter.future.cancelled():
-                self._take_back(queue, waiter.future)
+                self._return_undelivered(queue, waiter.future)
             raise
         finally:
             timer.cancel()
             queue.remove(waiter)
-            self.way.want(queue.service)
-        return self._count(slot, queue, self.timers.clock.monotonic() - waiter.since)
+            self.sharing.demand_changed(queue.service)
+        return self._count_served(slot, queue, self.timers.clock.monotonic() - waiter.since)
 
-    def _take_back(self, queue: WaitQueue, future: asyncio.Future[Any]) -> None:
+    def _return_undelivered(self, queue: WaitQueue, future: asyncio.Future[Any]) -> None:
         if future.exception() is None:
-            self.way.give_back(future.result())
+            self.sharing.give_back(future.result())
             self.serve(queue.service)
 
-    def _give_up(self, queue: WaitQueue, waiter: Waiter) -> None:
+    def _time_out(self, queue: WaitQueue, waiter: Waiter) -> None:
         if waiter.future.done():
             return
         queue.remove(waiter)
@@ -216,7 +216,7 @@
     def _sweep(self, service: str, queue: WaitQueue) -> None:
         if not len(queue):
             return
-        if self.way.stalled(service):
+        if self.sharing.stalled(service):
             for waiter in list(queue):
                 queue.remove(waiter)
                 if not waiter.future.done():
@@ -225,7 +225,9 @@
         queue.shed()
         self.serve(service)
 
-    def _exclude(self, service: str, exclude: Collection[str], queue: WaitQueue) -> frozenset[str]:
+    def _effective_exclude(
+        self, service: str, exclude: Collection[str], queue: WaitQueue
+    ) -> frozenset[str]:
         views = self.executors.candidates(service)
         if not views:
             raise queue.make_refusal(status_codes.NO_EXECUTOR)
@@ -233,7 +235,7 @@
             return frozenset()
         return frozenset(exclude)
 
-    def _count(self, slot: Slot, queue: WaitQueue, waited_s: float) -> Slot:
+    def _count_served(self, slot: Slot, queue: WaitQueue, waited_s: float) -> Slot:
         queue.record_served(waited_s)
         metrics.slots_used.add(1, {"service": slot.service})
         return slot
