--- a/features/steps/folds_steps.py
+++ b/features/steps/folds_steps.py
@@ -25,21 +25,21 @@
 from mustardgap.outcomes import Accepted
 from mustardgap.states import State
 
-REMEMBER = states.State.remember
-LONG = bool(os.environ.get("MUSTARDGAP_LONG"))
+ORIGINAL_REMEMBER_DECISION = states.State.remember_decision
+IS_LONG_RUN = bool(os.environ.get("MUSTARDGAP_LONG"))
 
 
-def never(*args, **kwargs):
+def accept_all(*args, **kwargs):
     """Turns nothing down."""
 
 
-def restore_any(log, data):
+def restore_older(log, data):
     """Takes an older snapshot over as well."""
     log.state = snapshots.decode(data)
     return True
 
 
-def receive_any(log, log_records):
+def receive_with_gaps(log, log_records):
     """Skips over a gap."""
     for record in log_records:
         if record.offset >= log.offset:
@@ -47,37 +47,37 @@
             log._fold(record)
 
 
-def remember_nothing(state, record_id, decided):
+def remember_no_id(state, record_id, decision):
     """Moves the floor as ever, but knows no id again."""
-    REMEMBER(state, f"{record_id} {decided.offset}", decided)
+    ORIGINAL_REMEMBER_DECISION(state, f"{record_id} {decision.offset}", decision)
 
 
-def forget_by_count(state):
+def skew_time(state):
     """Reads something that differs between two daemons."""
     state.time += id(state) % 97 / 97
 
 
 SAFEGUARDS = {
-    "ids are remembered": (states.State, "remember", remember_nothing),
-    "a record made too long ago is turned down": (folds, "_old_error", never),
-    "a change names the version it was made on": (config_rules, "_stale_error", never),
-    "declarations must fit together": (config_rules, "_reference_error", never),
-    "a declaration must be satisfiable": (config_rules, "_budget_error", never),
-    "a pool with hosts keeps its service": (config_rules, "_host_error", never),
-    "a drain must leave the budgets whole": (host_rules, "may_drain", never),
-    "a host leaves its pool before it joins another": (host_rules, "_pool_error", never),
-    "a host joins only where there is room": (host_rules, "_join_error", never),
-    "a host's step names its epoch": (host_rules, "_step_error", never),
-    "an attempt is placed only when no other may run": (job_rules, "_place_error", never),
-    "a job's step names its epoch": (job_rules, "_step_error", never),
-    "a team's quota holds": (job_rules, "_quota_error", never),
-    "an older snapshot changes nothing": (streams.Log, "restore", restore_any),
-    "records of a peer are folded without a gap": (streams.Log, "receive", receive_any),
-    "only the log's time counts": (states.State, "forget_old", forget_by_count),
+    "ids are remembered": (states.State, "remember_decision", remember_no_id),
+    "a record made too long ago is turned down": (folds, "_too_old_error", accept_all),
+    "a change names the version it was made on": (config_rules, "_stale_error", accept_all),
+    "declarations must fit together": (config_rules, "_reference_error", accept_all),
+    "a declaration must be satisfiable": (config_rules, "_budget_error", accept_all),
+    "a pool with hosts keeps its service": (config_rules, "_host_error", accept_all),
+    "a drain must leave the budgets whole": (host_rules, "may_drain", accept_all),
+    "a host leaves its pool before it joins another": (host_rules, "_pool_error", accept_all),
+    "a host joins only where there is room": (host_rules, "_join_error", accept_all),
+    "a host's step names its epoch": (host_rules, "_step_error", accept_all),
+    "an attempt is placed only when no other may run": (job_rules, "_place_error", accept_all),
+    "a job's step names its epoch": (job_rules, "_step_error", accept_all),
+    "a team's quota holds": (job_rules, "_quota_error", accept_all),
+    "an older snapshot changes nothing": (streams.Log, "restore", restore_older),
+    "records of a peer are folded without a gap": (streams.Log, "receive", receive_with_gaps),
+    "only the log's time counts": (states.State, "drop_expired", skew_time),
 }
 
 
-def drive(examples, steps):
+def run_fold_machine(examples, steps):
     """Run the state machine with a fixed seed."""
     with mock.patch.object(states, "REMEMBERED_IDS", states.REMEMBERED_IDS):
         run_state_machine_as_test(
@@ -95,7 +95,7 @@
 @when("the folding daemons run {examples:d} times for {steps:d} steps")
 def run_daemons(context, examples, steps):
     FoldMachine.steps = 0
-    drive(examples * 20 if LONG else examples, steps)
+    run_fold_machine(examples * 20 if IS_LONG_RUN else examples, steps)
 
 
 @then("the folding daemons took at least {steps:d} steps in all")
@@ -110,12 +110,12 @@
 
 
 @then("the folding daemons break a promise within {examples:d} runs")
-def check_breaks(context, examples):
+def check_violation(context, examples):
     target, name, replacement = context.safeguard
     broken = None
     with mock.patch.object(target, name, replacement):
         try:
-            drive(examples, 50)
+            run_fold_machine(examples, 50)
         except Exception as exc:
             broken = exc
     assert broken is not None, f"nothing noticed that {name} is off"
@@ -130,7 +130,7 @@
 STEP_S_BY_NAME = {"slow jobs": 10.0, "hosts that failed": 600.0}
 
 
-def short_lives(what):
+def short_lived_records(what):
     """Bodies of things that come and go, each with its kind."""
     yield "config", {"changes": [{"key": "team/t", "base": -1, "value": TEAM}]}
     yield "host", {**HOST, "host": "h", "phase": "in_service", "facts": FACTS}
@@ -146,24 +146,24 @@
 
 
 @when("folding {number:d} {what} with a restart from a checkpoint every {every:d}")
-def fold_short_lives(context, number, what, every):
-    whole, restarted = State(), State()
+def fold_short_lived_records(context, number, what, every):
+    uninterrupted, restarted = State(), State()
     context.most = Counter()
-    for offset, (kind, body) in enumerate(islice(short_lives(what), number)):
+    for offset, (kind, body) in enumerate(islice(short_lived_records(what), number)):
         value = records.make(kind, body, writer="w", seen=offset)
         record = LogRecord(offset, offset * STEP_S_BY_NAME.get(what, 0.001), value)
-        verdicts = folds.fold(whole, record), folds.fold(restarted, record)
+        verdicts = folds.fold(uninterrupted, record), folds.fold(restarted, record)
         assert all(isinstance(verdict, Accepted) for verdict in verdicts), verdicts
         if offset % every == 0:
             restarted = snapshots.decode(snapshots.encode(restarted))
-        sizes = {"jobs": whole.jobs_by_id, "waves": whole.waves_by_name}
-        sizes |= {"hosts": whole.hosts_by_name, "ids": whole.decided_by_id}
+        sizes = {"jobs": uninterrupted.jobs_by_id, "waves": uninterrupted.waves_by_name}
+        sizes |= {"hosts": uninterrupted.hosts_by_name, "ids": uninterrupted.decisions_by_id}
         context.most |= Counter({name: len(size) for name, size in sizes.items()})
-    context.states = whole, restarted
+    context.states = uninterrupted, restarted
 
 
 @then("the folded state keeps at most {most:d} {kept} and both agree")
 def check_bounded(context, most, kept):
-    whole, restarted = context.states
+    uninterrupted, restarted = context.states
     assert context.most[kept] <= most, context.most
-    assert whole.digest() == restarted.digest()
+    assert uninterrupted.digest() == restarted.digest()
--- a/mustardgap/checkpoint_rules.py
+++ b/mustardgap/checkpoint_rules.py
@@ -14,7 +14,7 @@
     return Rejected(code=status_codes.RECORD_INVALID, detail=detail)
 
 
-def put(state: State, step: CheckpointBody, offset: int) -> None:
+def apply(state: State, step: CheckpointBody, offset: int) -> None:
     """Take in an announcement; of two that crossed, the newer checkpoint counts."""
     state.checkpoint_offset = max(state.checkpoint_offset, step["offset"])
     state.checkpoint_time = state.time
--- a/mustardgap/config_rules.py
+++ b/mustardgap/config_rules.py
@@ -12,7 +12,7 @@
 
 MAX_CHANGES = 1000
 # The kinds whose values name other declarations.
-NAMING = ("service/", "pool/")
+REFERRING_PREFIXES = ("service/", "pool/")
 
 
 def check(state: State, config: ConfigBody) -> Rejected | None:
@@ -27,7 +27,7 @@
     )
 
 
-def put(state: State, config: ConfigBody, offset: int) -> None:
+def apply(state: State, config: ConfigBody, offset: int) -> None:
     """Take in an accepted set of changes; the offset is the new version of each."""
     changed = [
         Declaration(change["key"], offset, change["value"])
@@ -68,9 +68,9 @@
 
 def _reference_error(state: State, changes: list[Change]) -> Rejected | None:
     # A new or changed profile, team or policy names nothing, and nothing loses what it names.
-    if all(c["value"] is not None and not c["key"].startswith(NAMING) for c in changes):
+    if all(c["value"] is not None and not c["key"].startswith(REFERRING_PREFIXES) for c in changes):
         return None
-    for code, key, detail in reference_errors(_after(state, changes)):
+    for code, key, detail in reference_errors(_values_after(state, changes)):
         return Rejected(code=code, detail=f"{key}: {detail}")
     return None
 
@@ -94,12 +94,12 @@
 
     One that is there already, as after a rack failure, must not keep an operator from lessening it.
     """
-    if not any(_touches_budgets(state, change) for change in changes):
+    if not any(_can_cause_shortage(state, change) for change in changes):
         return None
-    after = shortages(state, _after(state, changes))
+    after = shortages(state, _values_after(state, changes))
     if not after:
         return None
-    before = {(s.budget, s.limit): s.short for s in shortages(state, _after(state, []))}
+    before = {(s.budget, s.limit): s.short for s in shortages(state, _values_after(state, []))}
     worse: list[Shortage] = [s for s in after if s.short > before.get((s.budget, s.limit), 0)]
     if not worse:
         return None
@@ -107,7 +107,7 @@
     return Rejected(code=status_codes.UNSATISFIABLE, detail=detail)
 
 
-def _touches_budgets(state: State, change: Change) -> bool:
+def _can_cause_shortage(state: State, change: Change) -> bool:
     """Whether a change can make a shortage; most, such as of a time-out, can't."""
     kind, _, name = change["key"].partition("/")
     if kind != "profile":
@@ -118,7 +118,7 @@
     return any(before[part] != after[part] for part in ("room", "availability"))
 
 
-def _after(state: State, changes: list[Change]) -> dict[str, Any]:
+def _values_after(state: State, changes: list[Change]) -> dict[str, Any]:
     values = {key: declaration.value for key, declaration in state.declarations_by_key.items()}
     for change in changes:
         if change["value"] is None:
--- a/mustardgap/entry_rules.py
+++ b/mustardgap/entry_rules.py
@@ -28,7 +28,7 @@
     return None
 
 
-def put(state: State, step: EntryBody, offset: int) -> None:
+def apply(state: State, step: EntryBody, offset: int) -> None:
     """Take in an accepted step of an entry host."""
     entry = state.entries_by_host.get(step["host"])
     unclean = entry["unclean"] if entry is not None else -1
--- a/mustardgap/folds.py
+++ b/mustardgap/folds.py
@@ -30,9 +30,9 @@
     WaveBody,
 )
 from .outcomes import Accepted, Rejected, Verdict
-from .states import Decided, State
+from .states import RecordDecision, State
 
-__all__ = ["State", "check", "decided", "fold"]
+__all__ = ["State", "check", "earlier_verdict", "fold"]
 
 
 class Rule(NamedTuple):
@@ -43,16 +43,16 @@
 
     body: type
     check: Any
-    put: Any
+    apply: Any
 
 
 RULES_BY_KIND: dict[str, Rule] = {
-    "config": Rule(ConfigBody, config_rules.check, config_rules.put),
-    "host": Rule(HostBody, host_rules.check, host_rules.put),
-    "job": Rule(JobBody, job_rules.check, job_rules.put),
-    "checkpoint": Rule(CheckpointBody, checkpoint_rules.check, checkpoint_rules.put),
-    "entry": Rule(EntryBody, entry_rules.check, entry_rules.put),
-    "wave": Rule(WaveBody, wave_rules.check, wave_rules.put),
+    "config": Rule(ConfigBody, config_rules.check, config_rules.apply),
+    "host": Rule(HostBody, host_rules.check, host_rules.apply),
+    "job": Rule(JobBody, job_rules.check, job_rules.apply),
+    "checkpoint": Rule(CheckpointBody, checkpoint_rules.check, checkpoint_rules.apply),
+    "entry": Rule(EntryBody, entry_rules.check, entry_rules.apply),
+    "wave": Rule(WaveBody, wave_rules.check, wave_rules.apply),
 }
 
 
@@ -77,15 +77,15 @@
         return Rejected(code=exc.code, detail=exc.detail, offset=record.offset)
     _advance(state, record)
     state.rules = max(state.rules, value["rules"])
-    before = state.decided_by_id.get(value["id"])
-    if before is not None:
-        detail = f"decided at offset {before.offset}"
+    earlier = state.decisions_by_id.get(value["id"])
+    if earlier is not None:
+        detail = f"decided at offset {earlier.offset}"
         return Rejected(code=status_codes.DUPLICATE_RECORD, detail=detail, offset=record.offset)
-    rejected = _old_error(state, value) or _judge(
-        state, value["kind"], value["body"], put_at=record.offset
+    rejected = _too_old_error(state, value) or _evaluate(
+        state, value["kind"], value["body"], apply_at=record.offset
     )
     code = status_codes.OK if rejected is None else rejected.code
-    state.remember(value["id"], Decided(record.offset, code.number))
+    state.remember_decision(value["id"], RecordDecision(record.offset, code.number))
     if rejected is None:
         return Accepted(offset=record.offset)
     return Rejected(
@@ -103,35 +103,35 @@
     :param kind: the kind of record.
     :param body: its body.
     """
-    rejected = _judge(state, kind, body, put_at=None)
+    rejected = _evaluate(state, kind, body, apply_at=None)
     return Accepted(offset=state.offset) if rejected is None else rejected
 
 
-def decided(state: State, record_id: str) -> Verdict | None:
+def earlier_verdict(state: State, record_id: str) -> Verdict | None:
     """What was decided on a record id, or None when it isn't remembered."""
-    before = state.decided_by_id.get(record_id)
-    if before is None:
+    earlier = state.decisions_by_id.get(record_id)
+    if earlier is None:
         return None
-    if before.code == status_codes.OK.number:
-        return Accepted(offset=before.offset)
-    code = status_codes.by_number[before.code]
-    return Rejected(code=code, detail="decided before", offset=before.offset)
+    if earlier.code == status_codes.OK.number:
+        return Accepted(offset=earlier.offset)
+    code = status_codes.by_number[earlier.code]
+    return Rejected(code=code, detail="decided before", offset=earlier.offset)
 
 
 def _advance(state: State, record: LogRecord) -> None:
     state.offset = record.offset + 1
     state.time = max(state.time, record.time)
-    state.forget_old()
+    state.drop_expired()
 
 
-def _old_error(state: State, value: Record) -> Rejected | None:
+def _too_old_error(state: State, value: Record) -> Rejected | None:
     if value["seen"] >= state.floor:
         return None
     detail = f"made at offset {value['seen']}, ids are remembered from {state.floor}"
     return Rejected(code=status_codes.STALE_BASE, detail=detail)
 
 
-def _judge(state: State, kind: str, body: Any, *, put_at: int | None) -> Rejected | None:
+def _evaluate(state: State, kind: str, body: Any, *, apply_at: int | None) -> Rejected | None:
     rule = RULES_BY_KIND.get(kind)
     if rule is None:
         return Rejected(code=status_codes.UNKNOWN_KIND, detail=f"kind {kind}")
@@ -140,6 +140,6 @@
     except msgspec.ValidationError as exc:
         return Rejected(code=status_codes.RECORD_INVALID, detail=str(exc))
     rejected: Rejected | None = rule.check(state, step)
-    if rejected is None and put_at is not None:
-        rule.put(state, step, put_at)
+    if rejected is None and apply_at is not None:
+        rule.apply(state, step, apply_at)
     return rejected
--- a/mustardgap/host_rules.py
+++ b/mustardgap/host_rules.py
@@ -33,7 +33,7 @@
     return rejected or _join_error(state, step, host)
 
 
-def put(state: State, step: HostBody, offset: int) -> None:
+def apply(state: State, step: HostBody, offset: int) -> None:
     """Apply an accepted step of a host to the state."""
     state.put_host(_next_state(state, step, state.hosts_by_name.get(step["host"])))
 
--- a/mustardgap/job_rules.py
+++ b/mustardgap/job_rules.py
@@ -6,7 +6,7 @@
 from .models import AttemptState, JobBody, JobPhase, JobState
 from .outcomes import Rejected
 from .rejections import stale, wrong_phase
-from .states import Held, State, holds_room, thousandths
+from .states import State, TeamUsage, has_running_attempt, size_in_thousandths
 
 PHASES_BEFORE: dict[str, tuple[JobPhase, ...]] = {
     "place": ("waiting", "paused"),
@@ -25,7 +25,7 @@
     "attempt_over": "waiting",
     "end": "ended",
 }
-OVER = ("failed", "unknown", "moved")
+ATTEMPT_RESULTS = ("failed", "unknown", "moved")
 
 
 def check(state: State, step: JobBody) -> Rejected | None:
@@ -38,17 +38,17 @@
     return _step_error(state, step, job)
 
 
-def put(state: State, step: JobBody, offset: int) -> None:
+def apply(state: State, step: JobBody, offset: int) -> None:
     """Take in an accepted step of a job."""
     job = state.jobs_by_id.get(step["job"])
-    state.put_job(_submitted(state, step) if job is None else _next(state, step, job))
+    state.put_job(_submitted_job(state, step) if job is None else _next_state(state, step, job))
 
 
 def _submit_error(state: State, step: JobBody, job: JobState | None) -> Rejected | None:
     if job is not None or step["base"] != 0:
         return stale(f"job/{step['job']}", step["base"], job["epoch"] if job else 0)
     spec = step.get("spec")
-    if spec is None or not _is_sound(spec):
+    if spec is None or not _is_valid_spec(spec):
         detail = f"job {step['job']} needs a spec with sizes that aren't negative"
         return Rejected(code=status_codes.RECORD_INVALID, detail=detail)
     if state.value("team", spec["team"]) is None:
@@ -58,34 +58,34 @@
     if profile and state.value("profile", profile) is None:
         detail = f"no profile {profile} is declared"
         return Rejected(code=status_codes.REFERENCE_MISSING, detail=detail)
-    held = state.held_by_team.get(spec["team"], Held())
-    return _quota_error(state, spec, Held(0, 0, held.jobs))
+    usage = state.usage_by_team.get(spec["team"], TeamUsage())
+    return _quota_error(state, spec, TeamUsage(0, 0, usage.jobs))
 
 
-def _is_sound(spec: Any) -> bool:
+def _is_valid_spec(spec: Any) -> bool:
     sizes = (spec["cores"], spec["memory_gb"], spec["accelerators"], spec["run_s"])
     return 0 <= spec["urgency"] <= 9 and all(0 <= size < 1e9 for size in sizes)
 
 
-def _quota_error(state: State, spec: Any, held: Held) -> Rejected | None:
+def _quota_error(state: State, spec: Any, usage: TeamUsage) -> Rejected | None:
     """Whether one job more, or its cores and memory, would pass the team's quota."""
     team = state.value("team", spec["team"])
     if team is None:
         detail = f"no team {spec['team']} is declared"
         return Rejected(code=status_codes.REFERENCE_MISSING, detail=detail)
-    cores, memory = thousandths(spec)
-    over = [
+    cores, memory = size_in_thousandths(spec)
+    exceeded = [
         name
         for name, used, quota in (
-            ("max_cores", held.cores + cores, round(team["max_cores"] * 1000)),
-            ("max_memory_gb", held.memory + memory, round(team["max_memory_gb"] * 1000)),
-            ("max_jobs", held.jobs + 1, team["max_jobs"]),
+            ("max_cores", usage.cores + cores, round(team["max_cores"] * 1000)),
+            ("max_memory_gb", usage.memory + memory, round(team["max_memory_gb"] * 1000)),
+            ("max_jobs", usage.jobs + 1, team["max_jobs"]),
         )
         if used > quota
     ]
-    if not over:
+    if not exceeded:
         return None
-    detail = f"team {spec['team']} would pass {', '.join(over)}"
+    detail = f"team {spec['team']} would pass {', '.join(exceeded)}"
     return Rejected(code=status_codes.QUOTA_EXCEEDED, detail=detail)
 
 
@@ -102,10 +102,10 @@
         return wrong_phase(f"job {job['job']} is {job['phase']}, no {name} now")
     if name == "place":
         return _place_error(state, step, job)
-    if name == "resume" and not holds_room(job):
+    if name == "resume" and not has_running_attempt(job):
         return wrong_phase(f"job {job['job']} holds no worker, place it")
-    if name == "attempt_over" and step.get("result") not in OVER:
-        detail = f"the result of an attempt that is over is one of {', '.join(OVER)}"
+    if name == "attempt_over" and step.get("result") not in ATTEMPT_RESULTS:
+        detail = f"the result of an attempt that is over is one of {', '.join(ATTEMPT_RESULTS)}"
         return Rejected(code=status_codes.RECORD_INVALID, detail=detail)
     if name == "end" and step.get("code") not in status_codes.by_number:
         return Rejected(code=status_codes.RECORD_INVALID, detail="the code is unknown")
@@ -113,7 +113,7 @@
 
 
 def _place_error(state: State, step: JobBody, job: JobState) -> Rejected | None:
-    if job["cancelled"] or holds_room(job):
+    if job["cancelled"] or has_running_attempt(job):
         return wrong_phase(f"job {job['job']} is cancelled or has an attempt that runs")
     unknown = any(attempt["outcome"] == "unknown" for attempt in job["attempts"])
     if unknown and not job["spec"]["idempotent"]:
@@ -125,11 +125,11 @@
         return Rejected(code=status_codes.UNKNOWN_HOST, detail=f"no host {worker}")
     if host["phase"] != "in_service":
         return wrong_phase(f"{worker} is {host['phase']} and takes no job")
-    held = state.held_by_team[job["spec"]["team"]]
-    return _quota_error(state, job["spec"], held._replace(jobs=held.jobs - 1))
+    usage = state.usage_by_team[job["spec"]["team"]]
+    return _quota_error(state, job["spec"], usage._replace(jobs=usage.jobs - 1))
 
 
-def _submitted(state: State, step: JobBody) -> JobState:
+def _submitted_job(state: State, step: JobBody) -> JobState:
     return JobState(
         job=step["job"],
         spec=step["spec"],
@@ -144,16 +144,16 @@
     )
 
 
-def _next(state: State, step: JobBody, job: JobState) -> JobState:
+def _next_state(state: State, step: JobBody, job: JobState) -> JobState:
     name = step["step"]
     after: JobState = {**job, "epoch": job["epoch"] + 1}
     if "usage" in step:
         after["usage"] = step["usage"]
     if name == "cancel":
         after["cancelled"] = True
-        if holds_room(job):
+        if has_running_attempt(job):
             return after
-        return _ended(after, status_codes.JOB_CANCELLED.number, "", state.time)
+        return _ended_job(after, status_codes.JOB_CANCELLED.number, "", state.time)
     if name == "place":
         attempt = AttemptState(
             number=len(job["attempts"]) + 1,
@@ -164,22 +164,22 @@
         )
         after["attempts"] = [*job["attempts"], attempt]
     if name == "attempt_over":
-        after["attempts"] = _closed(job, step["result"])
+        after["attempts"] = _closed_attempts(job, step["result"])
         if after["cancelled"]:
-            return _ended(after, status_codes.JOB_CANCELLED.number, "", state.time)
+            return _ended_job(after, status_codes.JOB_CANCELLED.number, "", state.time)
     if name == "end":
-        return _ended(after, step["code"], step.get("result", ""), state.time)
+        return _ended_job(after, step["code"], step.get("result", ""), state.time)
     after["phase"] = PHASE_AFTER[name]
     return after
 
 
-def _ended(job: JobState, code: int, result: str, now: float) -> JobState:
+def _ended_job(job: JobState, code: int, result: str, now: float) -> JobState:
     outcome = "failed"
     if code == status_codes.JOB_DONE.number:
         outcome = "done"
     if code == status_codes.JOB_ATTEMPT_UNKNOWN.number:
         outcome = "unknown"
-    attempts = _closed(job, outcome)
+    attempts = _closed_attempts(job, outcome)
     return {
         **job,
         "phase": "ended",
@@ -190,9 +190,9 @@
     }
 
 
-def _closed(job: JobState, outcome: str) -> list[AttemptState]:
+def _closed_attempts(job: JobState, outcome: str) -> list[AttemptState]:
     """The attempts with the last one, when it runs, closed."""
-    if not holds_room(job):
+    if not has_running_attempt(job):
         return job["attempts"]
     *earlier, last = job["attempts"]
     closed: AttemptState = {**last, "outcome": outcome}  # type: ignore[typeddict-item]
--- a/mustardgap/jobs.py
+++ b/mustardgap/jobs.py
@@ -5,7 +5,7 @@
 from . import status_codes
 from .adapters import TaskStep
 from .models import AttemptState, Disruption, HostState, JobState, TaskInfo, Usage, WorkerInfo
-from .states import holds_room
+from .states import has_running_attempt
 from .status_codes import Code
 
 # Within this time from its placing an attempt is started, or started again after a lost answer; the
@@ -69,7 +69,7 @@
 
 def attempt_of(job: JobState) -> AttemptState | None:
     """The attempt that runs, or None."""
-    return job["attempts"][-1] if holds_room(job) else None
+    return job["attempts"][-1] if has_running_attempt(job) else None
 
 
 def pause_step(job: JobState, disruption: Disruption) -> TaskStep | None:
--- a/mustardgap/quotas.py
+++ b/mustardgap/quotas.py
@@ -6,7 +6,7 @@
 
 from .job_queues import Running, Waiting
 from .models import JobSpec
-from .states import Held, thousandths
+from .states import TeamUsage, size_in_thousandths
 
 
 class Excess(NamedTuple):
@@ -22,7 +22,7 @@
 
     def plus(self, spec: JobSpec, sign: int = 1) -> "Excess":
         """The excess with a job more, or one less."""
-        cores, memory = thousandths(spec)
+        cores, memory = size_in_thousandths(spec)
         return Excess(self.cores + sign * cores, self.memory + sign * memory)
 
 
@@ -59,7 +59,7 @@
         team = self.state.value("team", job.team)
         if team is None or job.urgency >= self._helpless_by_team.get(job.team, job.urgency + 1):
             return None
-        held = self.state.held_by_team.get(job.team, Held())
+        held = self.state.usage_by_team.get(job.team, TeamUsage())
         over = Excess(
             held.cores - round(team["max_cores"] * 1000),
             held.memory - round(team["max_memory_gb"] * 1000),
--- a/mustardgap/snapshots.py
+++ b/mustardgap/snapshots.py
@@ -8,7 +8,7 @@
 from . import status_codes
 from .exceptions import RecordRejected
 from .models import RULES_VERSION, Declaration, EntryState, HostState, JobState, WaveState
-from .states import Decided, State
+from .states import RecordDecision, State
 
 FORMAT = 1
 MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024
@@ -68,7 +68,7 @@
         hosts=list(state.hosts_by_name.values()),
         jobs=list(state.jobs_by_id.values()),
         waves=list(state.waves_by_name.values()),
-        decided=[(key, *decided) for key, decided in state.decided_by_id.items()],
+        decided=[(key, *decided) for key, decided in state.decisions_by_id.items()],
         ended_jobs=list(state.ended_jobs),
         entries=list(state.entries_by_host.values()),
     )
@@ -117,5 +117,5 @@
     for entry in snapshot.entries:
         state.entries_by_host[entry["host"]] = entry
     for record_id, offset, code in snapshot.decided:
-        state.decided_by_id[record_id] = Decided(offset, code)
+        state.decisions_by_id[record_id] = RecordDecision(offset, code)
     return state
--- a/mustardgap/states.py
+++ b/mustardgap/states.py
@@ -10,25 +10,25 @@
 from .models import Declaration, EntryState, HostFacts, HostState, JobState, Profile, WaveState
 
 REMEMBERED_IDS = 4096
-ENDED_JOBS = 2000
-ENDED_S = 3600.0
-FINISHED_WAVES = 50
-FORGET_FAILED_S = 7 * 86_400.0
-FORGET_ENTRY_S = 86_400.0
-SWEEP_S = 3600.0
+MAX_ENDED_JOBS = 2000
+ENDED_JOB_RETENTION_S = 3600.0
+MAX_FINISHED_WAVES = 50
+FAILED_HOST_RETENTION_S = 7 * 86_400.0
+ENTRY_RETENTION_S = 86_400.0
+SWEEP_PERIOD_S = 3600.0
 
-HEALTHY = frozenset({"in_service", "draining", "drained", "rebooting"})
-DOMAINS = ("rack", "data_center")
+HEALTHY_PHASES = frozenset({"in_service", "draining", "drained", "rebooting"})
+FAILURE_DOMAINS = ("rack", "data_center")
 
 
-class Decided(NamedTuple):
+class RecordDecision(NamedTuple):
     """What the fold decided on a record id, by the number of its result code."""
 
     offset: int
     code: int
 
 
-class Held(NamedTuple):
+class TeamUsage(NamedTuple):
     """What a team's jobs hold, in thousandths of a core and of a GB, and how many there are.
 
     Whole numbers, so that a sum built step by step equals one built anew from a checkpoint; sums
@@ -55,7 +55,7 @@
         self.jobs_by_id: dict[str, JobState] = {}
         self.waves_by_name: dict[str, WaveState] = {}
         self.entries_by_host: dict[str, EntryState] = {}
-        self.decided_by_id: dict[str, Decided] = {}
+        self.decisions_by_id: dict[str, RecordDecision] = {}
         self.floor = 0
         self.sweep = 0
         self.checkpoint_offset = -1
@@ -63,12 +63,14 @@
         self.ended_jobs: deque[str] = deque()
         self.hosts_by_pool: dict[str, set[str]] = {}
         self.pools_by_service: dict[str, list[str]] = {}
-        self.held_by_team: dict[str, Held] = {}
-        self.healthy_by_domain: dict[str, Counter[str]] = {name: Counter() for name in DOMAINS}
-        self._facts: dict[HostFactsKey, HostFacts] = {}
+        self.usage_by_team: dict[str, TeamUsage] = {}
+        self.healthy_by_domain: dict[str, Counter[str]] = {
+            name: Counter() for name in FAILURE_DOMAINS
+        }
+        self._facts_by_key: dict[HostFactsKey, HostFacts] = {}
         self._values_by_kind: dict[str, dict[str, Any]] = {}
 
-    def take_over(self, other: "State") -> None:
+    def replace_with(self, other: "State") -> None:
         """Become what another state is, so that every part that holds this one sees it."""
         vars(self).update(vars(other))
 
@@ -121,10 +123,10 @@
     def put_host(self, host: HostState) -> None:
         """Take in a host's new state."""
         self.drop_host(host["host"])
-        host["facts"] = self._shared_facts(host["facts"])
+        host["facts"] = self._intern_facts(host["facts"])
         self.hosts_by_name[host["host"]] = host
         self.hosts_by_pool.setdefault(host["pool"], set()).add(host["host"])
-        self._count(host, 1)
+        self._count_healthy(host, 1)
 
     def drop_host(self, name: str) -> None:
         """Forget a host."""
@@ -132,15 +134,15 @@
         if host is None:
             return
         self.hosts_by_pool[host["pool"]].discard(name)
-        self._count(host, -1)
+        self._count_healthy(host, -1)
 
     def put_job(self, job: JobState) -> None:
         """Take in a job's new state."""
         before = self.jobs_by_id.get(job["job"])
         if before is not None:
-            self._hold(before, -1)
+            self._count_usage(before, -1)
         self.jobs_by_id[job["job"]] = job
-        self._hold(job, 1)
+        self._count_usage(job, 1)
         if job["phase"] == "ended":
             self.ended_jobs.append(job["job"])
 
@@ -149,10 +151,10 @@
         self.waves_by_name.pop(wave["wave"], None)
         self.waves_by_name[wave["wave"]] = wave
         finished = [w["wave"] for w in self.waves_by_name.values() if w["phase"] == "finished"]
-        for name in finished[: max(0, len(finished) - FINISHED_WAVES)]:
+        for name in finished[: max(0, len(finished) - MAX_FINISHED_WAVES)]:
             del self.waves_by_name[name]
 
-    def remember(self, record_id: str, decided: Decided) -> None:
+    def remember_decision(self, record_id: str, decision: RecordDecision) -> None:
         """Remember what was decided on a record id.
 
         An append whose answer was lost is repeated with the same id, so the log may hold it twice;
@@ -162,33 +164,36 @@
         memory, and one made earlier is turned down as stale. An operator's own id that is sent
         again later than that, through another daemon, still meets the versions in ``base``.
         """
-        self.decided_by_id[record_id] = decided
-        if len(self.decided_by_id) > REMEMBERED_IDS:
-            oldest = next(iter(self.decided_by_id))
-            self.floor = self.decided_by_id.pop(oldest).offset + 1
+        self.decisions_by_id[record_id] = decision
+        if len(self.decisions_by_id) > REMEMBERED_IDS:
+            oldest = next(iter(self.decisions_by_id))
+            self.floor = self.decisions_by_id.pop(oldest).offset + 1
 
-    def forget_old(self) -> None:
+    def drop_expired(self) -> None:
         """Drop what is kept for a while only, by the log's time, so that the state is bounded."""
         while self.ended_jobs:
             job = self.jobs_by_id[self.ended_jobs[0]]
-            if len(self.ended_jobs) <= ENDED_JOBS and job["ended"] + ENDED_S > self.time:
+            if (
+                len(self.ended_jobs) <= MAX_ENDED_JOBS
+                and job["ended"] + ENDED_JOB_RETENTION_S > self.time
+            ):
                 break
             del self.jobs_by_id[self.ended_jobs.popleft()]
-        sweep = int(self.time // SWEEP_S)
+        sweep = int(self.time // SWEEP_PERIOD_S)
         if sweep == self.sweep:
             return
         self.sweep = sweep
-        long_failed = [
+        expired_hosts = [
             host["host"]
             for host in self.hosts_by_name.values()
-            if host["phase"] == "failed" and host["since"] + FORGET_FAILED_S < self.time
+            if host["phase"] == "failed" and host["since"] + FAILED_HOST_RETENTION_S < self.time
         ]
-        for name in long_failed:
+        for name in expired_hosts:
             self.drop_host(name)
         self.entries_by_host = {
             name: entry
             for name, entry in self.entries_by_host.items()
-            if entry["state"] == "joined" or entry["time"] + FORGET_ENTRY_S >= self.time
+            if entry["state"] == "joined" or entry["time"] + ENTRY_RETENTION_S >= self.time
         }
 
     def digest(self) -> str:
@@ -206,32 +211,32 @@
             self.jobs_by_id,
             self.waves_by_name,
             self.entries_by_host,
-            list(self.decided_by_id.items()),
+            list(self.decisions_by_id.items()),
             list(self.ended_jobs),
         )
         return xxhash.xxh3_128_hexdigest(msgspec.json.encode(parts, order="sorted"))
 
-    def _shared_facts(self, facts: HostFacts) -> HostFacts:
+    def _intern_facts(self, facts: HostFacts) -> HostFacts:
         key = HostFactsKey(*(facts[name] for name in HostFactsKey._fields))  # type: ignore[literal-required]
-        return self._facts.setdefault(key, facts)
+        return self._facts_by_key.setdefault(key, facts)
 
-    def _count(self, host: HostState, step: int) -> None:
-        if host["phase"] not in HEALTHY:
+    def _count_healthy(self, host: HostState, change: int) -> None:
+        if host["phase"] not in HEALTHY_PHASES:
             return
-        for name in DOMAINS:
+        for name in FAILURE_DOMAINS:
             domain = domain_of(host["facts"], name)
-            self.healthy_by_domain[name][domain] += step
+            self.healthy_by_domain[name][domain] += change
             if not self.healthy_by_domain[name][domain]:
                 del self.healthy_by_domain[name][domain]
 
-    def _hold(self, job: JobState, step: int) -> None:
+    def _count_usage(self, job: JobState, change: int) -> None:
         if job["phase"] == "ended":
             return
         spec = job["spec"]
-        held = self.held_by_team.get(spec["team"], Held())
-        cores, memory = thousandths(spec) if holds_room(job) else (0, 0)
-        self.held_by_team[spec["team"]] = Held(
-            held.cores + step * cores, held.memory + step * memory, held.jobs + step
+        usage = self.usage_by_team.get(spec["team"], TeamUsage())
+        cores, memory = size_in_thousandths(spec) if has_running_attempt(job) else (0, 0)
+        self.usage_by_team[spec["team"]] = TeamUsage(
+            usage.cores + change * cores, usage.memory + change * memory, usage.jobs + change
         )
 
 
@@ -252,11 +257,11 @@
     return f"{facts['data_center']}/{facts['rack']}"
 
 
-def holds_room(job: JobState) -> bool:
+def has_running_attempt(job: JobState) -> bool:
     """Whether a job has an attempt that holds room on a worker."""
     return bool(job["attempts"]) and job["attempts"][-1]["outcome"] == "running"
 
 
-def thousandths(spec: Any) -> tuple[int, int]:
+def size_in_thousandths(spec: Any) -> tuple[int, int]:
     """A job's cores and memory in whole thousandths."""
     return round(spec["cores"] * 1000), round(spec["memory_gb"] * 1000)
--- a/mustardgap/streams.py
+++ b/mustardgap/streams.py
@@ -135,7 +135,7 @@
             time=self.timeline.send_time(),
             record_id=record_id,
         )
-        before = folds.decided(self.state, record["id"])
+        before = folds.earlier_verdict(self.state, record["id"])
         if before is not None:
             return before
         size = len(msgspec.json.encode(record))
@@ -200,10 +200,10 @@
         state = snapshots.decode(data)
         if state.offset <= self.offset:
             return False
-        self.state.take_over(state)
+        self.state.replace_with(state)
         self._recent.clear()
         self.timeline.add("log.restored", offset=state.offset)
-        self.appender.resolve_all(lambda record_id: folds.decided(state, record_id))
+        self.appender.resolve_all(lambda record_id: folds.earlier_verdict(state, record_id))
         for callback in self._restore_callbacks:
             callback()
         return True
@@ -294,7 +294,7 @@
         record_id = str(value.get("id", ""))
         is_copy = code is status_codes.DUPLICATE_RECORD
         # The writer of a second copy hears of the first; nobody else may act on it twice.
-        first = folds.decided(self.state, record_id) if is_copy else None
+        first = folds.earlier_verdict(self.state, record_id) if is_copy else None
         self.appender.resolve(record_id, first or verdict)
         for callback in self._callbacks:
             try:
--- a/mustardgap/wave_rules.py
+++ b/mustardgap/wave_rules.py
@@ -25,7 +25,7 @@
     return _step_error(step, wave)
 
 
-def put(state: State, step: WaveBody, offset: int) -> None:
+def apply(state: State, step: WaveBody, offset: int) -> None:
     """Apply an accepted step of a wave to the state."""
     state.put_wave(_next(state, step, state.waves_by_name.get(step["wave"])))
 
--- a/tools/bench_fold.py
+++ b/tools/bench_fold.py
@@ -164,7 +164,7 @@
     """The size of the offsets of all live records and the remembered ids, as on the log."""
     offsets = sorted(offset for offset, _ in _live(day).values())
     steps = [after - before for before, after in zip([0, *offsets], offsets, strict=False)]
-    ids = [(key, *decided) for key, decided in day.state.decided_by_id.items()]
+    ids = [(key, *decided) for key, decided in day.state.decisions_by_id.items()]
     raw = zlib.compress(msgspec.msgpack.encode((steps, ids)), 6)
     return len(msgspec.json.encode(chunk_records(raw, offset=0, writer="entry-1")))
 
