--- a/mustardgap/checkpoints.py
+++ b/mustardgap/checkpoints.py
@@ -21,13 +21,13 @@
 CHUNK_BYTES = 128 * 1024
 MAX_CHUNKS = 256
 PAGE_CHUNKS = 8
-CHECK_S = 1.0
-MIN_GAP_S = 5.0
+CHECK_PERIOD_S = 1.0
+MIN_WRITE_INTERVAL_S = 5.0
 # How long the others leave a due checkpoint to the daemon whose turn it is.
-STEP_IN_S = 10.0
-ANNOUNCE_S = 10.0
+TAKEOVER_DELAY_S = 10.0
+ANNOUNCE_TIMEOUT_S = 10.0
 # A checkpoint is due again when no more than this share of the kept records comes before it.
-EXPIRING = 0.25
+EXPIRY_MARGIN_SHARE = 0.25
 
 
 class ChunkBody(msgspec.Struct, kw_only=True):
@@ -40,14 +40,14 @@
     data: str
 
 
-class Loaded(NamedTuple):
+class LoadedCheckpoint(NamedTuple):
     """A whole checkpoint found on the log."""
 
     offset: int
     data: bytes
 
 
-class Writer(Protocol):
+class StateLog(Protocol):
     """What checkpoints need of the log they belong to."""
 
     member: str
@@ -83,7 +83,7 @@
     return made
 
 
-def latest(chunks: Iterable[LogRecord]) -> Loaded | None:
+def latest_checkpoint(chunks: Iterable[LogRecord]) -> LoadedCheckpoint | None:
     """The newest whole checkpoint among the records of the checkpoint stream.
 
     Two daemons may have written one at the same time; their chunks mix and are told apart by
@@ -92,7 +92,7 @@
     pieces_by_snapshot: dict[str, dict[int, str]] = {}
     found: tuple[int, str] | None = None
     for record in chunks:
-        body = _chunk(record)
+        body = _decode_chunk(record)
         if body is None:
             continue
         pieces = pieces_by_snapshot.setdefault(body.snapshot, {})
@@ -103,7 +103,7 @@
         return None
     pieces = pieces_by_snapshot[found[1]]
     data = b"".join(base64.b85decode(pieces[number]) for number in sorted(pieces))
-    return Loaded(found[0], data)
+    return LoadedCheckpoint(found[0], data)
 
 
 class Checkpoints:
@@ -112,7 +112,7 @@
     They stand on a stream of their own, so that a starting daemon finds the newest without
     reading through the state stream. A small record there tells all daemons of each.
 
-    ``is_mine`` says whether it is this daemon's turn; ``oldest`` is the oldest offset that the
+    ``is_owner`` says whether it is this daemon's turn; ``oldest`` is the oldest offset that the
     state stream was last seen to keep.
 
     :param platform: the platform's log.
@@ -122,23 +122,23 @@
     """
 
     def __init__(
-        self, *, platform: Platform, settings: PlatformSettings, clock: Clock, log: Writer
+        self, *, platform: Platform, settings: PlatformSettings, clock: Clock, log: StateLog
     ) -> None:
         self.platform = platform
         self.settings = settings
         self.clock = clock
         self.log = log
         self.stream = f"{settings.stream}-checkpoints"
-        self.is_mine: Callable[[str], bool] = lambda key: True
+        self.is_owner: Callable[[str], bool] = lambda key: True
         self.oldest = 0
         self._due_since: float | None = None
-        self._written_at = -MIN_GAP_S
+        self._written_at = -MIN_WRITE_INTERVAL_S
 
     async def run(self) -> None:
         """Write a checkpoint whenever one is due and it is this daemon's turn."""
         while True:
-            await self.clock.sleep(CHECK_S)
-            if not self._turn():
+            await self.clock.sleep(CHECK_PERIOD_S)
+            if not self._should_write():
                 continue
             try:
                 await self.write()
@@ -161,7 +161,7 @@
             return self.oldest >= state.offset or self._age_s() > self.settings.checkpoint_s
         if self.oldest > 0:
             kept = state.offset - self.oldest
-            if state.checkpoint_offset < self.oldest + kept * EXPIRING:
+            if state.checkpoint_offset < self.oldest + kept * EXPIRY_MARGIN_SHARE:
                 return True
         if state.offset - state.checkpoint_offset > self.settings.checkpoint_records:
             return True
@@ -184,11 +184,11 @@
             # A chunk each, so that a whole checkpoint never makes one very large append.
             await self.platform.append(self.stream, [chunk])
         body = CheckpointBody(offset=offset, chunks=len(chunks))
-        await self.log.write("checkpoint", body, timeout_s=ANNOUNCE_S, purpose="background")
+        await self.log.write("checkpoint", body, timeout_s=ANNOUNCE_TIMEOUT_S, purpose="background")
         metrics.checkpoints.add(1)
         return offset
 
-    async def load(self) -> Loaded | None:
+    async def load(self) -> LoadedCheckpoint | None:
         """Find the newest whole checkpoint.
 
         :raises PlatformError: the log can't be read.
@@ -198,7 +198,7 @@
             window = PAGE_CHUNKS
             while True:
                 start = max(oldest, end - window)
-                found = latest(await self._read(start, end))
+                found = latest_checkpoint(await self._read(start, end))
                 if found is not None or start == oldest:
                     return found
                 window *= 4
@@ -223,20 +223,20 @@
             start = page.next_offset
         return found
 
-    def _turn(self) -> bool:
+    def _should_write(self) -> bool:
         now = self.clock.monotonic()
         if not self.log.current or not self.due():
             self._due_since = None
             return False
         if self._due_since is None:
             self._due_since = now
-        if now - self._written_at < MIN_GAP_S:
+        if now - self._written_at < MIN_WRITE_INTERVAL_S:
             return False
-        if self.is_mine("checkpoint"):
+        if self.is_owner("checkpoint"):
             return True
         # Whose turn it is may hang or be cut off. Two that step in at once do no harm: both write
         # the same decided state, and the newest whole checkpoint counts.
-        return now - self._due_since > STEP_IN_S * random.uniform(1, 2)
+        return now - self._due_since > TAKEOVER_DELAY_S * random.uniform(1, 2)
 
     def _age_s(self) -> float:
         if self.log.state.checkpoint_offset < 0:
@@ -245,7 +245,7 @@
         return max(0.0, self.clock.wall() - self.log.state.checkpoint_time)
 
 
-def _chunk(record: LogRecord) -> ChunkBody | None:
+def _decode_chunk(record: LogRecord) -> ChunkBody | None:
     try:
         value = records.check(record.value)
         body = msgspec.convert(value["body"], ChunkBody)
--- a/mustardgap/fold_events.py
+++ b/mustardgap/fold_events.py
@@ -19,9 +19,9 @@
     def __init__(self, *, log: Log, timeline: Timeline) -> None:
         self.log = log
         self.timeline = timeline
-        log.on_fold(self.note)
+        log.on_fold(self.add_events)
 
-    def note(self, record: LogRecord, verdict: Verdict) -> None:
+    def add_events(self, record: LogRecord, verdict: Verdict) -> None:
         """Note a record and its verdict."""
         kind, body = record.value.get("kind"), record.value.get("body")
         if not isinstance(kind, str) or not isinstance(body, dict):
@@ -30,21 +30,23 @@
             cause = f"{verdict.code} {verdict.code.name}"
             self.timeline.add(f"{kind}.rejected", offset=record.offset, cause=cause, **_ids(body))
             return
-        for event, ids in self._accepted(kind, body):
+        for event, ids in self._events_of_accepted(kind, body):
             cause = str(body.get("reason", ""))
             self.timeline.add(event, offset=record.offset, cause=cause, **ids)
 
-    def _accepted(self, kind: str, body: dict[str, Any]) -> Iterator[tuple[str, dict[str, str]]]:
+    def _events_of_accepted(
+        self, kind: str, body: dict[str, Any]
+    ) -> Iterator[tuple[str, dict[str, str]]]:
         if kind == "config":
             for change in body["changes"]:
                 step = "removed" if change["value"] is None else "changed"
                 yield f"config.{step}", _key_ids(change["key"])
         elif kind == "host":
-            yield f"host.{body['phase']}", {**_ids(body), **self._service(body["pool"])}
+            yield f"host.{body['phase']}", {**_ids(body), **self._service_ids(body["pool"])}
         elif kind in ("job", "wave", "entry"):
             yield f"{kind}.{body['step']}", _ids(body)
 
-    def _service(self, pool: str) -> dict[str, str]:
+    def _service_ids(self, pool: str) -> dict[str, str]:
         value = self.log.state.value("pool", pool)
         return {"service": value["service"]} if value and value["service"] else {}
 
--- a/mustardgap/parts.py
+++ b/mustardgap/parts.py
@@ -102,7 +102,7 @@
             timeline=self.timeline,
             member=self.members.me.id,
         )
-        self.log.checkpoints.is_mine = lambda key: self.members.owner(key) == self.members.me.id
+        self.log.checkpoints.is_owner = lambda key: self.members.owner(key) == self.members.me.id
         self.relays = Relays(
             log=self.log,
             peers=self.peers,
