--- a/mustardgap/brokers.py
+++ b/mustardgap/brokers.py
@@ -11,7 +11,7 @@
 
 from .executors import ExecutorView
 from .holdings import Holding, Loan
-from .ledgers import ids_of, masks_of
+from .ledgers import masks_of, slot_ids_of
 from .lenders import FAIR_WAIT_S, Lender
 from .members import Member, Members, MemberState
 from .messages import (
@@ -301,7 +301,7 @@
         holding.number = message.number
         now = self.clock.monotonic()
         self._lease(holding, message.sent)
-        for slot_id in ids_of(message.slots):
+        for slot_id in slot_ids_of(message.slots):
             loan = holding.loans_by_id.get(slot_id, Loan(0, 0, now, 0.0))
             holding.loans_by_id[slot_id] = loan._replace(number=message.number)
             holding.unwanted.discard(slot_id)
@@ -309,7 +309,7 @@
         self.slots.serve(holding.service)
         if not self.slots.waiting(holding.service):
             # Several owners may have lent at once what was asked of each.
-            self._return(holding, [i for i in ids_of(message.slots) if i in holding.idle()])
+            self._return(holding, [i for i in slot_ids_of(message.slots) if i in holding.idle()])
 
     def take_held(self, sender: Member, message: Held) -> None:
         """Take in an owner's answer to a renewal."""
@@ -322,7 +322,7 @@
             return
         self._lease(holding, message.sent)
         holding.number = max(holding.number, message.number)
-        lost = set(ids_of(message.drop)) & holding.loans_by_id.keys()
+        lost = set(slot_ids_of(message.drop)) & holding.loans_by_id.keys()
         holding.unwanted |= lost
         self._return(holding, [i for i in lost if not holding.loans_by_id[i].used])
 
--- a/mustardgap/ledgers.py
+++ b/mustardgap/ledgers.py
@@ -6,7 +6,7 @@
 from .messages import Ask, Grant, Hold, Masks, Return
 from .slots import SlotId
 
-MAX_LET_GO = 1000
+MAX_ENDED_SESSIONS = 1000
 
 
 class Borrower:
@@ -17,26 +17,26 @@
 
     def __init__(self, *, session: int) -> None:
         self.session = session
-        self.numbers_by_id: dict[SlotId, int] = {}
-        self.sent = 0
-        self.held_sent = 0
-        self.heard = 0.0
-        self.number = 0
-        self.number_before = 0
+        self.grant_numbers_by_id: dict[SlotId, int] = {}
+        self.last_sent = 0
+        self.last_hold_sent = 0
+        self.heard_at = 0.0
+        self.grant_number = 0
+        self.grant_number_at_hold = 0
         self.ask: Ask | None = None
-        self.asked = 0.0
-        self.lacks = 0
+        self.asked_at = 0.0
+        self.missing = 0
         self.grants: deque[Grant] = deque()
 
-    def note_ask(self, ask: Ask, asked: float) -> None:
+    def note_ask(self, ask: Ask, asked_at: float) -> None:
         """Take in an ask; grants that it couldn't know of are on their way and count."""
-        self.note_number(ask.number)
+        self.drop_handled_grants(ask.number)
         self.ask = ask
-        self.asked = asked
+        self.asked_at = asked_at
         coming = sum(mask.bit_count() for grant in self.grants for mask in grant.slots.values())
-        self.lacks = ask.count - coming
+        self.missing = ask.count - coming
 
-    def note_number(self, number: int) -> None:
+    def drop_handled_grants(self, number: int) -> None:
         """Take in which grants it has dealt with."""
         while self.grants and self.grants[0].number <= number:
             self.grants.popleft()
@@ -45,73 +45,73 @@
 class Ledger:
     """The members that borrow of an owner, and what they may hold.
 
-    :param lapse_s: seconds after a member's last word when it surely uses no slot any more.
+    :param expiry_s: seconds after a member's last word when it surely uses no slot any more.
     """
 
-    def __init__(self, *, lapse_s: float) -> None:
-        self.lapse_s = lapse_s
+    def __init__(self, *, expiry_s: float) -> None:
+        self.expiry_s = expiry_s
         self.borrowers_by_id: dict[str, Borrower] = {}
-        self.let_go: dict[str, int] = {}
+        self.ended_sessions_by_id: dict[str, int] = {}
         self.lent: set[SlotId] = set()
 
-    def borrower(self, member_id: str, session: int, now: float) -> Borrower | None:
+    def borrower_in_session(self, member_id: str, session: int, now: float) -> Borrower | None:
         """A member in its session, or None when that is over.
 
         Who comes with a later session holds nothing of the earlier, and starts nothing in it; but
         what it has started may run on.
         """
-        b = self.borrowers_by_id.get(member_id)
-        if b is not None and session == b.session:
-            b.heard = now
-            return b
-        if b is not None or session <= self.let_go.get(member_id, 0):
+        borrower = self.borrowers_by_id.get(member_id)
+        if borrower is not None and session == borrower.session:
+            borrower.heard_at = now
+            return borrower
+        if borrower is not None or session <= self.ended_sessions_by_id.get(member_id, 0):
             return None
-        b = self.borrowers_by_id[member_id] = Borrower(session=session)
-        b.heard = now
-        return b
+        borrower = self.borrowers_by_id[member_id] = Borrower(session=session)
+        borrower.heard_at = now
+        return borrower
 
-    def settle(self, b: Borrower, message: Hold) -> None:
+    def free_unheld(self, borrower: Borrower, message: Hold) -> None:
         """Free what the member doesn't hold of the grants it has dealt with."""
-        b.note_number(message.number)
-        for slot_id, number in list(b.numbers_by_id.items()):
+        borrower.drop_handled_grants(message.number)
+        for slot_id, number in list(borrower.grant_numbers_by_id.items()):
             held = message.held.get(slot_id.executor, 0) >> slot_id.position & 1
             if number <= message.number and not held:
-                self.free(b, slot_id)
+                self.free(borrower, slot_id)
 
-    def free(self, b: Borrower, slot_id: SlotId) -> None:
+    def free(self, borrower: Borrower, slot_id: SlotId) -> None:
         """Note that a slot is back."""
-        del b.numbers_by_id[slot_id]
+        del borrower.grant_numbers_by_id[slot_id]
         self.lent.discard(slot_id)
 
-    def lend(self, b: Borrower, slot_id: SlotId) -> None:
+    def lend(self, borrower: Borrower, slot_id: SlotId) -> None:
         """Note a slot for a member's next grant."""
-        b.numbers_by_id[slot_id] = b.number + 1
-        b.lacks -= 1
+        borrower.grant_numbers_by_id[slot_id] = borrower.grant_number + 1
+        borrower.missing -= 1
         self.lent.add(slot_id)
 
-    def take_return(self, b: Borrower, message: Return) -> None:
+    def take_return(self, borrower: Borrower, message: Return) -> None:
         """Free what a member gives back, by the number of the grant that lent it."""
         for number, masks in message.numbered.items():
-            for slot_id in ids_of(masks):
-                if b.numbers_by_id.get(slot_id) == number:
-                    self.free(b, slot_id)
+            for slot_id in slot_ids_of(masks):
+                if borrower.grant_numbers_by_id.get(slot_id) == number:
+                    self.free(borrower, slot_id)
 
-    def expire(self, now: float) -> None:
+    def expire_borrowers(self, now: float) -> None:
         """Free what silent members held, once they surely use it no more."""
-        for member_id, b in list(self.borrowers_by_id.items()):
-            if now > b.heard + self.lapse_s:
+        for member_id, borrower in list(self.borrowers_by_id.items()):
+            if now > borrower.heard_at + self.expiry_s:
                 del self.borrowers_by_id[member_id]
-                self.let_go[member_id] = b.session
-                self.lent.difference_update(b.numbers_by_id)
-        for member_id in list(self.let_go)[:-MAX_LET_GO]:
-            del self.let_go[member_id]
+                self.ended_sessions_by_id[member_id] = borrower.session
+                self.lent.difference_update(borrower.grant_numbers_by_id)
+        for member_id in list(self.ended_sessions_by_id)[:-MAX_ENDED_SESSIONS]:
+            del self.ended_sessions_by_id[member_id]
 
     def askers(self) -> list[tuple[int, float, str]]:
         """Who lacks slots: urgency, since when, id."""
         return [
-            (b.ask.urgency, b.asked, member_id)
-            for member_id, b in self.borrowers_by_id.items()
-            if b.ask is not None and b.lacks > 0
+            (borrower.ask.urgency, borrower.asked_at, member_id)
+            for member_id, borrower in self.borrowers_by_id.items()
+            if borrower.ask is not None and borrower.missing > 0
         ]
 
 
@@ -123,7 +123,7 @@
     return masks
 
 
-def ids_of(masks: Masks) -> list[SlotId]:
+def slot_ids_of(masks: Masks) -> list[SlotId]:
     """The single slots of masks."""
     return [
         SlotId(executor, index)
--- a/mustardgap/lenders.py
+++ b/mustardgap/lenders.py
@@ -72,7 +72,7 @@
 
     def restart(self) -> None:
         """Forget what was lent; as a new run this host owns nothing until it is surely over."""
-        self.ledger = Ledger(lapse_s=self.lease_s + self.hold_s())
+        self.ledger = Ledger(expiry_s=self.lease_s + self.hold_s())
 
     def idle(self) -> list[tuple[SlotId, ExecutorView]]:
         """The own slots that nobody has, and their executors."""
@@ -101,33 +101,33 @@
     def take_ask(self, sender: Member, message: Ask) -> None:
         """Note how many slots a member lacks, and lend what is free."""
         now = self.clock.monotonic()
-        b = self.ledger.borrower(sender.id, message.session, now)
+        b = self.ledger.borrower_in_session(sender.id, message.session, now)
         if b is None:
             self._end_session(sender.id, message.session, message.sent)
             return
         if b.ask is not None and b.ask.sequence >= message.sequence:
             return
-        b.sent = max(b.sent, message.sent)
+        b.last_sent = max(b.last_sent, message.sent)
         b.note_ask(message, now - message.waited_ms / 1000)
         self.pump()
 
     def take_hold(self, sender: Member, message: Hold) -> None:
         """Renew a member's lease and settle what it holds."""
-        b = self.ledger.borrower(sender.id, message.session, self.clock.monotonic())
+        b = self.ledger.borrower_in_session(sender.id, message.session, self.clock.monotonic())
         if b is None:
             self._end_session(sender.id, message.session, message.sent)
             return
-        if message.sent <= b.held_sent:
+        if message.sent <= b.last_hold_sent:
             return
-        b.held_sent = message.sent
-        b.sent = max(b.sent, message.sent)
-        self.ledger.settle(b, message)
+        b.last_hold_sent = message.sent
+        b.last_sent = max(b.last_sent, message.sent)
+        self.ledger.free_unheld(b, message)
         if self.may_use():
-            lost = [i for i in b.numbers_by_id if not self._may_lend(i)]
+            lost = [i for i in b.grant_numbers_by_id if not self._may_lend(i)]
             held = Held(
-                self.service, b.session, message.sent, True, b.number_before, masks_of(lost)
+                self.service, b.session, message.sent, True, b.grant_number_at_hold, masks_of(lost)
             )
-            b.number_before = b.number
+            b.grant_number_at_hold = b.grant_number
             self.send(sender.id, held)
         self.pump()
 
@@ -155,7 +155,7 @@
             if reserved and self._is_first_here(own, Claim(entry[0], entry[1])):
                 idle = idle[reserved:]
                 reserved = 0
-            while b.lacks > 0 and self._lend_one(b, idle):
+            while b.missing > 0 and self._lend_one(b, idle):
                 granted.setdefault(entry[2], []).append(self._last)
         for member_id, slot_ids in granted.items():
             self._grant(member_id, slot_ids)
@@ -171,8 +171,8 @@
 
     def tick(self) -> None:
         """Take back what silent members held, lend and recall."""
-        self.ledger.lapse_s = max(self.ledger.lapse_s, self.lease_s + self.hold_s())
-        self.ledger.expire(self.clock.monotonic())
+        self.ledger.expiry_s = max(self.ledger.expiry_s, self.lease_s + self.hold_s())
+        self.ledger.expire_borrowers(self.clock.monotonic())
         self.pump()
 
     def _may_lend(self, slot_id: SlotId) -> bool:
@@ -197,8 +197,8 @@
 
     def _grant(self, member_id: str, slot_ids: list[SlotId]) -> None:
         b = self.ledger.borrowers_by_id[member_id]
-        b.number += 1
-        grant = Grant(self.service, b.session, b.sent, b.number, masks_of(slot_ids))
+        b.grant_number += 1
+        grant = Grant(self.service, b.session, b.last_sent, b.grant_number, masks_of(slot_ids))
         b.grants.append(grant)
         metrics.slots_lent.add(len(slot_ids))
         self.send(member_id, grant)
@@ -217,7 +217,7 @@
         self._recalled_at = now
         urgency, since = claim if claim is not None and self.lends else Claim(-1, 0.0)
         for member_id, b in self.ledger.borrowers_by_id.items():
-            if b.numbers_by_id:
+            if b.grant_numbers_by_id:
                 waited_ms = int((now - since) * 1000)
                 self.send(member_id, Recall(self.service, b.session, urgency, waited_ms))
 
--- a/mustardgap/ownership.py
+++ b/mustardgap/ownership.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from .ledgers import ids_of
+from .ledgers import slot_ids_of
 from .messages import Settled
 from .slots import SlotId
 from .states import State
@@ -118,7 +118,7 @@
         """Apply a joined entry host's report of the slots that it still uses or lends."""
         if message.offset <= self.offset:
             return
-        self.busy_slots_by_host[host] = set(ids_of(message.busy))
+        self.busy_slots_by_host[host] = set(slot_ids_of(message.busy))
         folded = self.clock.monotonic() - message.age_ms / 1000
         self.unclean_ends = [
             end._replace(since=min(end.since, folded)) for end in self.unclean_ends
