--- a/features/support/fold_machine.py
+++ b/features/support/fold_machine.py
@@ -14,7 +14,7 @@
 from mustardgap.timelines import Timeline
 from mustardgap.timers import Timers
 
-REMEMBERED = 8
+REMEMBERED_IDS = 8
 DAEMONS = 3
 RACKS = [("d1", "r1"), ("d1", "r2"), ("d2", "r1")]
 HOSTS = {f"h{n}": RACKS[n % 3] for n in range(9)}
@@ -39,12 +39,12 @@
     return {"profile": name, "team": "t", "path": f"/{name}"}
 
 
-def pool(name, least=0, most=9):
+def pool(service_name, min_hosts=0, max_hosts=9):
     """A pool's value."""
-    return {"service": name, "min_hosts": least, "max_hosts": most}
+    return {"service": service_name, "min_hosts": min_hosts, "max_hosts": max_hosts}
 
 
-VALUES = {
+VALUES_BY_KEY = {
     "profile/p": [profile(n, s) for n in (0, 1, 2, 6) for s in ("none", "host", "rack")]
     + [profile(1, "data_center", 4), {"bogus": 1}, None],
     "service/p": [service("p"), None],
@@ -56,7 +56,7 @@
     "pool/jobs": [pool(""), pool("", 1), None],
     "team/t": [{"max_cores": n, "max_memory_gb": 9, "max_jobs": 2} for n in (2, 3)] + [None],
 }
-START = {
+INITIAL_VALUES = {
     "profile/p": profile(1, "rack"),
     "profile/q": profile(1, "none"),
     "service/p": service("p"),
@@ -68,8 +68,8 @@
 }
 daemon_numbers = st.integers(0, DAEMONS - 1)
 changes = st.lists(
-    st.sampled_from(sorted(VALUES)).flatmap(
-        lambda key: st.tuples(st.just(key), st.sampled_from(VALUES[key]))
+    st.sampled_from(sorted(VALUES_BY_KEY)).flatmap(
+        lambda key: st.tuples(st.just(key), st.sampled_from(VALUES_BY_KEY[key]))
     ),
     min_size=1,
     max_size=2,
@@ -103,25 +103,25 @@
 
     def __init__(self):
         super().__init__()
-        states.REMEMBERED_IDS = REMEMBERED
-        self.kept = []
-        self.made = 0
+        states.REMEMBERED_IDS = REMEMBERED_IDS
+        self.log_records = []
+        self.made_count = 0
         self.differences = []
         self.oldest = 0
-        self.oracle = NaiveFold(remembered=REMEMBERED)
+        self.oracle = NaiveFold(remembered=REMEMBERED_IDS)
         self.digest_by_offset = {}
         self.declared_by_offset = [{}]
-        self.won = set()
+        self.won_races = set()
         self.checkpoints = []
-        self.late = []
-        self.daemons = [self._start() for _ in range(DAEMONS)]
+        self.late_records = []
+        self.daemons = [self._new_daemon() for _ in range(DAEMONS)]
 
     # The log.
 
     def _append(self, value):
-        record = LogRecord(len(self.kept), 1000.0 + len(self.kept), value)
+        record = LogRecord(len(self.log_records), 1000.0 + len(self.log_records), value)
         before = {name: dict(host) for name, host in self.oracle.hosts.items()}
-        self.kept.append(record)
+        self.log_records.append(record)
         self.oracle.add(record)
         self.declared_by_offset.append(dict(self.oracle.values))
         if self.oracle.verdicts[-1]:
@@ -133,8 +133,8 @@
             for change in body["changes"]:
                 if change["base"] >= 0:
                     race = (change["key"], change["base"])
-                    assert race not in self.won, f"two changes won on {race}"
-                    self.won.add(race)
+                    assert race not in self.won_races, f"two changes won on {race}"
+                    self.won_races.add(race)
         if kind != "host" or body["host"] not in before:
             return
         host = before[body["host"]]
@@ -143,46 +143,48 @@
         pool_of = self.oracle.values.get(f"pool/{host['pool']}", {})
         planned = host["phase"] == "in_service" and body["phase"] in ("draining", "set_aside")
         if planned and pool_of.get("service"):
-            assert self.oracle.holds(pool_of["service"]), f"{body} breaks a budget"
+            assert self.oracle.meets_availability(pool_of["service"]), f"{body} breaks a budget"
 
-    def _make(self, number, kind, body):
-        self.made += 1
+    def _make_record(self, number, kind, body):
+        self.made_count += 1
         seen = self.daemons[number].offset
-        return records.make(kind, body, writer=f"d{number}", seen=seen, record_id=f"{self.made}")
+        return records.make(
+            kind, body, writer=f"d{number}", seen=seen, record_id=f"{self.made_count}"
+        )
 
-    def _send(self, number, kind, body, fate):
+    def _deliver(self, number, kind, body, delivery):
         """Append a record; its answer may be lost and it may come late or more than once."""
-        value = self._make(number, kind, body)
-        if fate == "late":
-            self.late.append(value)
+        value = self._make_record(number, kind, body)
+        if delivery == "late":
+            self.late_records.append(value)
             return
         self._append(value)
-        if fate == "repeated":
+        if delivery == "repeated":
             self._append(value)
 
-    fates = st.sampled_from(["once", "once", "once", "repeated", "late"])
+    deliveries = st.sampled_from(["once", "once", "once", "repeated", "late"])
 
     # Writers.
 
     @initialize()
     def begin(self):
-        body = [{"key": key, "base": -1, "value": value} for key, value in START.items()]
-        self._append(self._make(0, "config", {"changes": body}))
+        body = [{"key": key, "base": -1, "value": value} for key, value in INITIAL_VALUES.items()]
+        self._append(self._make_record(0, "config", {"changes": body}))
         for number, host in enumerate(HOSTS):
             body = {"host": host, "base": 0, "phase": "in_service", "reason": ""}
             body |= {"pool": POOLS[0 if number < 5 else 2], "facts": facts_of(host)}
-            self._append(self._make(0, "host", body))
+            self._append(self._make_record(0, "host", body))
             for daemon in range(DAEMONS):
-                self.fold(daemon, len(self.kept))
+                self.fold(daemon, len(self.log_records))
 
-    @rule(number=daemon_numbers, pairs=changes, fate=fates)
-    def operate(self, number, pairs, fate):
+    @rule(number=daemon_numbers, pairs=changes, delivery=deliveries)
+    def operate(self, number, pairs, delivery):
         declared = self.daemons[number].state.declarations_by_key
         body = [
             {"key": key, "base": declared[key].version if key in declared else -1, "value": value}
             for key, value in pairs
         ]
-        self._send(number, "config", {"changes": body}, fate)
+        self._deliver(number, "config", {"changes": body}, delivery)
 
     @rule(first=daemon_numbers, second=daemon_numbers, pairs=changes, others=changes)
     def race(self, first, second, pairs, others):
@@ -194,15 +196,15 @@
         host=st.sampled_from(sorted(HOSTS)),
         phase=st.sampled_from(PHASES),
         pool_name=st.sampled_from(POOLS),
-        keeps=st.booleans(),
-        fate=fates,
+        keeps_pool=st.booleans(),
+        delivery=deliveries,
     )
-    def step_host(self, number, host, phase, pool_name, keeps, fate):
+    def step_host(self, number, host, phase, pool_name, keeps_pool, delivery):
         known = self.daemons[number].state.hosts_by_name.get(host)
-        name = known["pool"] if keeps and known else pool_name
+        name = known["pool"] if keeps_pool and known else pool_name
         body = {"host": host, "phase": phase, "pool": name, "reason": "", "facts": facts_of(host)}
         body["base"] = known["epoch"] if known else 0
-        self._send(number, "host", body, fate)
+        self._deliver(number, "host", body, delivery)
 
     @rule(number=daemon_numbers, hosts=st.sets(st.sampled_from(sorted(HOSTS)), max_size=4))
     def drain_many(self, number, hosts):
@@ -216,18 +218,18 @@
     )
     def move_many(self, number, hosts, name):
         for host in sorted(hosts):
-            for phase, keeps in (("draining", True), ("drained", True), ("in_service", False)):
-                self.step_host(number, host, phase, name, keeps, "once")
-                self.fold(number, len(self.kept))
+            for phase, keeps_pool in (("draining", True), ("drained", True), ("in_service", False)):
+                self.step_host(number, host, phase, name, keeps_pool, "once")
+                self.fold(number, len(self.log_records))
 
     @rule(number=daemon_numbers)
     def declare_and_remove(self, number):
-        made = []
+        appended = []
         for value in (pool("p"), None):
-            self.fold(number, len(self.kept))
+            self.fold(number, len(self.log_records))
             self.operate(number, [("pool/b", value)], "once")
-            made.append(self.kept[-1].value)
-        self._append(made[0])
+            appended.append(self.log_records[-1].value)
+        self._append(appended[0])
 
     @rule(number=daemon_numbers, rack=st.sampled_from(RACKS))
     def lose_rack(self, number, rack):
@@ -241,50 +243,50 @@
         host=st.sampled_from(sorted(HOSTS)),
         result=st.sampled_from(["failed", "unknown", "moved"]),
         idempotent=st.booleans(),
-        fate=fates,
+        delivery=deliveries,
     )
-    def step_job(self, number, job, step, host, result, idempotent, fate):
+    def step_job(self, number, job, step, host, result, idempotent, delivery):
         known = self.daemons[number].state.jobs_by_id.get(job)
         body = {"job": job, "step": step, "base": known["epoch"] if known else 0}
         sizes = {"cores": 1.5, "memory_gb": 1.0, "accelerators": 0, "run_s": 1.0}
         spec = {"team": "t", "urgency": 1, "idempotent": idempotent, **sizes}
         extra = {"submit": {"spec": spec}, "place": {"worker": host}}
         extra |= {"attempt_over": {"result": result}, "end": {"code": 4006}}
-        self._send(number, "job", body | extra.get(step, {}), fate)
+        self._deliver(number, "job", body | extra.get(step, {}), delivery)
 
     @rule(number=daemon_numbers, host=st.sampled_from(sorted(HOSTS)), job=st.sampled_from(JOBS))
     def run_twice(self, number, host, job):
         for step in ("submit", "place", "attempt_over", "place"):
             self.step_job(number, job, step, host, "unknown", False, "once")
-            self.fold(number, len(self.kept))
+            self.fold(number, len(self.log_records))
 
     @rule(
         number=daemon_numbers,
         host=st.sampled_from(["e1", "e2"]),
         step=st.sampled_from(["join", "join", "leave", "gone"]),
-        later=st.integers(0, 1),
-        fate=fates,
+        incarnation_increase=st.integers(0, 1),
+        delivery=deliveries,
     )
-    def step_entry(self, number, host, step, later, fate):
+    def step_entry(self, number, host, step, incarnation_increase, delivery):
         known = self.daemons[number].state.entries_by_host.get(host)
         base, run = (known["epoch"], known["incarnation"]) if known else (0, 1)
-        body = {"host": host, "base": base, "incarnation": run + later, "step": step}
-        self._send(number, "entry", body, fate)
+        body = {"host": host, "base": base, "incarnation": run + incarnation_increase, "step": step}
+        self._deliver(number, "entry", body, delivery)
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.late_records)
     @rule(data=st.data(), copies=st.integers(1, 2))
     def arrive_late(self, data, copies):
-        value = data.draw(st.sampled_from(self.late))
+        value = data.draw(st.sampled_from(self.late_records))
         for _ in range(copies):
             self._append(value)
 
     @rule(data=st.data())
     def repeat(self, data):
-        self._append(data.draw(st.sampled_from(self.kept)).value)
+        self._append(data.draw(st.sampled_from(self.log_records)).value)
 
     # Readers.
 
-    def _start(self):
+    def _new_daemon(self):
         log = make_log("d")
         log.on_fold(self._check_verdict)
         return log
@@ -298,12 +300,12 @@
     def fold(self, number, count):
         log = self.daemons[number]
         if log.offset >= self.oldest:
-            log.receive(self.kept[log.offset : log.offset + count])
+            log.receive(self.log_records[log.offset : log.offset + count])
 
     @rule(number=daemon_numbers, data=st.data(), count=st.integers(1, 20))
     def relay(self, number, data, count):
-        start = data.draw(st.integers(self.oldest, len(self.kept)))
-        self.daemons[number].receive(self.kept[start : start + count])
+        start = data.draw(st.integers(self.oldest, len(self.log_records)))
+        self.daemons[number].receive(self.log_records[start : start + count])
 
     @rule(number=daemon_numbers)
     def checkpoint(self, number):
@@ -326,7 +328,7 @@
     @rule(number=daemon_numbers, source=daemon_numbers, from_peer=st.booleans())
     def replace(self, number, source, from_peer):
         snapshot = self.daemons[source].snapshot()
-        self.daemons[number] = self._start()
+        self.daemons[number] = self._new_daemon()
         if from_peer:
             self.daemons[number].restore(snapshot)
 
@@ -341,7 +343,7 @@
             assert digest == log.state.digest(), f"two states at offset {log.offset}"
             values = {key: d.value for key, d in log.state.declarations_by_key.items()}
             assert values == self.declared_by_offset[log.offset], "not what was accepted"
-            if log.offset == len(self.kept):
+            if log.offset == len(self.log_records):
                 self._check_end(log.state)
 
     def _check_end(self, state):
@@ -354,20 +356,22 @@
             seen = {key: value for key, value in entry.items() if key != "time"}
             assert seen == self.oracle.entry(name), f"{entry} is not {self.oracle.entry(name)}"
         for name, job in state.jobs_by_id.items():
-            tries = [attempt["outcome"] for attempt in job["attempts"]]
-            assert tries == self.oracle.jobs[name]["tries"], f"{name}: {tries}"
+            outcomes = [attempt["outcome"] for attempt in job["attempts"]]
+            assert outcomes == self.oracle.jobs[name]["outcomes"], f"{name}: {outcomes}"
             assert job["phase"] == self.oracle.jobs[name]["phase"], name
-            assert tries.count("running") <= 1, f"{name} runs twice"
-            twice = "unknown" in tries[:-1] and not job["spec"]["idempotent"]
-            assert not twice, f"{name} may have run twice"
+            assert outcomes.count("running") <= 1, f"{name} runs twice"
+            may_run_twice = "unknown" in outcomes[:-1] and not job["spec"]["idempotent"]
+            assert not may_run_twice, f"{name} may have run twice"
 
     def teardown(self):
         """All catch up, by checkpoint and the log's tail, and are where a whole fold ends."""
-        whole = make_log("whole")
-        whole.receive(msgspec.json.decode(msgspec.json.encode(self.kept), type=list[LogRecord]))
+        reference = make_log("reference")
+        reference.receive(
+            msgspec.json.decode(msgspec.json.encode(self.log_records), type=list[LogRecord])
+        )
         for log in self.daemons:
             if log.offset < self.oldest:
                 for data in self.checkpoints:
                     log.restore(data)
-            log.receive(self.kept[log.offset :])
-            assert log.state.digest() == whole.state.digest(), "checkpoint and tail differ"
+            log.receive(self.log_records[log.offset :])
+            assert log.state.digest() == reference.state.digest(), "checkpoint and tail differ"
--- a/features/support/naive_folds.py
+++ b/features/support/naive_folds.py
@@ -7,7 +7,7 @@
     "rack": lambda host: (host["facts"]["data_center"], host["facts"]["rack"]),
     "data_center": lambda host: host["facts"]["data_center"],
 }
-FORBIDDEN_STEPS = {
+FORBIDDEN_PHASES = {
     "in_service": {"in_service", "drained", "rebooting"},
     "draining": {"draining", "rebooting"},
     "drained": {"draining"},
@@ -15,14 +15,14 @@
     "failed": {"draining", "failed"},
     "set_aside": {"draining", "set_aside"},
 }
-ENDED = {"waiting", "placed", "running", "paused"}
-JOB_STEPS_IN = {
+LIVE_PHASES = {"waiting", "placed", "running", "paused"}
+PHASES_BEFORE = {
     "place": {"waiting", "paused"},
     "start": {"placed"},
     "pause": {"placed", "running"},
     "resume": {"paused"},
     "attempt_over": {"placed", "running", "paused"},
-    "end": ENDED,
+    "end": LIVE_PHASES,
 }
 
 
@@ -34,7 +34,7 @@
         self.values, self.versions = {}, {}
         self.hosts, self.jobs = {}, {}
         self.entries = {}
-        self.firsts = []
+        self.first_appearances = []
         self.verdicts = []
 
     def add(self, record):
@@ -42,14 +42,14 @@
         value = record.value
         offset = len(self.verdicts)
         floor = 0
-        if len(self.firsts) > self.remembered:
-            floor = self.firsts[-self.remembered - 1][0] + 1
-        names = [name for _, name in self.firsts]
+        if len(self.first_appearances) > self.remembered:
+            floor = self.first_appearances[-self.remembered - 1][0] + 1
+        names = [name for _, name in self.first_appearances]
         if value["id"] not in names[-self.remembered :]:
-            self.firsts.append((offset, value["id"]))
+            self.first_appearances.append((offset, value["id"]))
         decide = getattr(self, f"_{value['kind']}", lambda body, offset: False)
-        fresh = value["id"] not in names and value["seen"] >= floor
-        self.verdicts.append(fresh and decide(value["body"], offset))
+        is_new = value["id"] not in names and value["seen"] >= floor
+        self.verdicts.append(is_new and decide(value["body"], offset))
 
     # Budgets.
 
@@ -66,7 +66,7 @@
             and self.values.get(f"pool/{host['pool']}", {}).get("service") == service
         ]
 
-    def holds(self, service, without=""):
+    def meets_availability(self, service, without=""):
         """Whether a service keeps its least number whichever single domain is lost."""
         hosts = [host for host in self.serving(service) if host["host"] != without]
         available = self.profile(service)["availability"]
@@ -83,7 +83,7 @@
         others = [h for h in self._in_pool(host["pool"], ("in_service",)) if h is not host]
         if len(others) < pool["min_hosts"]:
             return False
-        return not pool["service"] or self.holds(pool["service"], without=host["host"])
+        return not pool["service"] or self.meets_availability(pool["service"], without=host["host"])
 
     def _in_pool(self, pool, phases):
         return [h for h in self.hosts.values() if h["pool"] == pool and h["phase"] in phases]
@@ -109,7 +109,7 @@
         joins = body["phase"] == "in_service" and body["pool"] != host["pool"]
         if joins and host["pool"] and host["phase"] not in ("drained", "failed", "set_aside"):
             return False
-        if not joins and body["phase"] in FORBIDDEN_STEPS[host["phase"]]:
+        if not joins and body["phase"] in FORBIDDEN_PHASES[host["phase"]]:
             return False
         if body["pool"] != host["pool"] and not joins:
             leaves = body["phase"] == "drained" and body["pool"] == ""
@@ -187,16 +187,16 @@
         after = {key: value for key, value in after.items() if value is not None}
         if any("bogus" in value for value in after.values()):
             return False
-        if not self._refers(after) or not self._keeps_hosts(after):
+        if not self._references_exist(after) or not self._hosts_keep_services(after):
             return False
-        before = self._missing(self.values)
-        if any(short > before.get(name, 0) for name, short in self._missing(after).items()):
+        before = self._shortages(self.values)
+        if any(short > before.get(name, 0) for name, short in self._shortages(after).items()):
             return False
         self.values = after
         self.versions.update({change["key"]: offset for change in changes})
         return True
 
-    def _refers(self, values):
+    def _references_exist(self, values):
         wanted = set()
         for key, value in values.items():
             if key.startswith("service/"):
@@ -206,7 +206,7 @@
         paths = [value["path"] for key, value in values.items() if key.startswith("service/")]
         return wanted <= values.keys() and len(paths) == len(set(paths))
 
-    def _keeps_hosts(self, after):
+    def _hosts_keep_services(self, after):
         for host in self.hosts.values():
             key = f"pool/{host['pool']}"
             if key in self.values:
@@ -215,12 +215,12 @@
                     return False
         return True
 
-    def _missing(self, values):
+    def _shortages(self, values):
         """How many hosts each budget misses."""
         phases = ("in_service", "draining", "drained", "rebooting")
         healthy = [host for host in self.hosts.values() if host["phase"] in phases]
         pools = [value for key, value in values.items() if key.startswith("pool/")]
-        missing = {}
+        shortages = {}
         total = sum(pool["min_hosts"] for pool in pools if not pool["service"])
         for key in values:
             kind, _, name = key.partition("/")
@@ -228,16 +228,16 @@
                 continue
             profile = self.profile(name, values)
             own = [pool for pool in pools if pool["service"] == name]
-            need, most = spread(healthy, **profile["availability"])
+            need, most = survival_bounds(healthy, **profile["availability"])
             floor = max(need, sum(pool["min_hosts"] for pool in own))
             total += floor
-            missing[name, "room"] = floor - profile["room"]["max_hosts"]
-            missing[name, "pools"] = floor - sum(pool["max_hosts"] for pool in own)
+            shortages[name, "room"] = floor - profile["room"]["max_hosts"]
+            shortages[name, "pools"] = floor - sum(pool["max_hosts"] for pool in own)
             if healthy:
-                missing[name, "fleet"] = profile["availability"]["min_hosts"] - most
+                shortages[name, "fleet"] = profile["availability"]["min_hosts"] - most
         if healthy:
-            missing["total"] = total - len(healthy)
-        return {name: short for name, short in missing.items() if short > 0}
+            shortages["total"] = total - len(healthy)
+        return {name: short for name, short in shortages.items() if short > 0}
 
     # Jobs.
 
@@ -252,8 +252,8 @@
         if body["step"] == "cancel":
             accepted = not job["cancelled"]
         else:
-            accepted = job["phase"] in JOB_STEPS_IN[body["step"]]
-        running = bool(job["tries"]) and job["tries"][-1] == "running"
+            accepted = job["phase"] in PHASES_BEFORE[body["step"]]
+        running = bool(job["outcomes"]) and job["outcomes"][-1] == "running"
         if accepted and body["step"] == "place":
             accepted = self._may_place(body, job, running)
         if body["step"] == "resume" and not running:
@@ -275,7 +275,7 @@
             "epoch": 1,
             "phase": "waiting",
             "cancelled": False,
-            "tries": [],
+            "outcomes": [],
         }
         return True
 
@@ -283,9 +283,9 @@
         host = self.hosts.get(body["worker"])
         if host is None or host["phase"] != "in_service" or job["cancelled"] or running:
             return False
-        if "unknown" in job["tries"] and not job["spec"]["idempotent"]:
+        if "unknown" in job["outcomes"] and not job["spec"]["idempotent"]:
             return False
-        held = [j for j in self.jobs.values() if j["tries"] and j["tries"][-1] == "running"]
+        held = [j for j in self.jobs.values() if j["outcomes"] and j["outcomes"][-1] == "running"]
         cores = sum(j["spec"]["cores"] for j in held) + job["spec"]["cores"]
         team = self.values.get(f"team/{job['spec']['team']}")
         waiting = [j for j in self.jobs.values() if j["phase"] != "ended"]
@@ -296,11 +296,11 @@
         job["epoch"] += 1
         job["cancelled"] = job["cancelled"] or step == "cancel"
         if step == "place":
-            job["tries"].append("running")
+            job["outcomes"].append("running")
         if running and step == "attempt_over":
-            job["tries"][-1] = body["result"]
+            job["outcomes"][-1] = body["result"]
         if running and step == "end":
-            job["tries"][-1] = "done"
+            job["outcomes"][-1] = "done"
         phases = {"place": "placed", "start": "running", "pause": "paused", "resume": "running"}
         phases |= {"attempt_over": "waiting", "end": "ended"}
         job["phase"] = phases.get(step, job["phase"])
@@ -308,7 +308,7 @@
             job["phase"] = "ended"
 
 
-def spread(hosts, *, min_hosts, survive):
+def survival_bounds(hosts, *, min_hosts, survive):
     """The fewest hosts that keep ``min_hosts``, and the most that any choice of hosts keeps.
 
     Tries every number of hosts in every domain.
