--- a/mustardgap/checkpoint_rules.py
+++ b/mustardgap/checkpoint_rules.py
@@ -1,4 +1,4 @@
-"""The rule for announcements of checkpoints."""
+"""Validates and applies announcements of checkpoints."""
 
 from . import status_codes
 from .models import CheckpointBody
@@ -7,7 +7,7 @@
 
 
 def check(state: State, step: CheckpointBody) -> Rejected | None:
-    """Whether an announcement is accepted; None when it is."""
+    """Return the rejection of an announcement, or None when it is accepted."""
     if 0 <= step["offset"] <= state.offset:
         return None
     detail = f"a checkpoint at offset {step['offset']} of {state.offset}"
@@ -15,6 +15,6 @@
 
 
 def apply(state: State, step: CheckpointBody, offset: int) -> None:
-    """Take in an announcement; of two that crossed, the newer checkpoint counts."""
+    """Apply an announcement; if two arrive out of order, the newer checkpoint counts."""
     state.checkpoint_offset = max(state.checkpoint_offset, step["offset"])
     state.checkpoint_time = state.time
--- a/mustardgap/checkpoints.py
+++ b/mustardgap/checkpoints.py
@@ -1,4 +1,4 @@
-"""Checkpoints: snapshots on the log, which outlive the retention of the state stream."""
+"""Checkpoints: snapshots on the log, because records of the state stream expire."""
 
 import asyncio
 import base64
@@ -23,10 +23,10 @@
 PAGE_CHUNKS = 8
 CHECK_PERIOD_S = 1.0
 MIN_WRITE_INTERVAL_S = 5.0
-# How long the others leave a due checkpoint to the daemon whose turn it is.
+# Others write a due checkpoint after 1 to 2 times this delay if its owner doesn't.
 TAKEOVER_DELAY_S = 10.0
 ANNOUNCE_TIMEOUT_S = 10.0
-# A checkpoint is due again when no more than this share of the kept records comes before it.
+# A checkpoint is due when less than this share of the kept records precedes the newest one.
 EXPIRY_MARGIN_SHARE = 0.25
 
 
@@ -41,14 +41,14 @@
 
 
 class LoadedCheckpoint(NamedTuple):
-    """A whole checkpoint found on the log."""
+    """A complete checkpoint found on the log."""
 
     offset: int
     data: bytes
 
 
 class StateLog(Protocol):
-    """What checkpoints need of the log they belong to."""
+    """The part of the log that checkpoints use."""
 
     member: str
     state: State
@@ -62,7 +62,7 @@
 
 
 def chunk_records(data: bytes, *, offset: int, writer: str) -> list[Record]:
-    """Cut a snapshot into the records of a checkpoint.
+    """Split a snapshot into the records of a checkpoint.
 
     :param data: the snapshot.
     :param offset: the offset up to which it is folded.
@@ -84,10 +84,10 @@
 
 
 def latest_checkpoint(chunks: Iterable[LogRecord]) -> LoadedCheckpoint | None:
-    """The newest whole checkpoint among the records of the checkpoint stream.
+    """Return the newest complete checkpoint among the records of the checkpoint stream.
 
-    Two daemons may have written one at the same time; their chunks mix and are told apart by
-    the snapshot's id. One whose writer died halfway is passed over.
+    If two daemons write at the same time, their chunks interleave and are told apart by the
+    snapshot's id. A checkpoint whose writer died midway is skipped.
     """
     pieces_by_snapshot: dict[str, dict[int, str]] = {}
     found: tuple[int, str] | None = None
@@ -109,16 +109,16 @@
 class Checkpoints:
     """Writes and finds the checkpoints of one daemon.
 
-    They stand on a stream of their own, so that a starting daemon finds the newest without
-    reading through the state stream. A small record there tells all daemons of each.
+    They have a stream of their own, so that a starting daemon finds the newest without reading
+    the state stream. A small record on the state stream announces each to all daemons.
 
-    ``is_owner`` says whether it is this daemon's turn; ``oldest`` is the oldest offset that the
-    state stream was last seen to keep.
+    ``is_owner`` tells whether this daemon should write; ``oldest`` is the oldest offset that the
+    state stream kept when it was last read.
 
     :param platform: the platform's log.
     :param settings: the section ``platform``.
     :param clock: the clocks to read.
-    :param log: the log whose state is kept.
+    :param log: the log whose state is saved.
     """
 
     def __init__(
@@ -135,7 +135,7 @@
         self._written_at = -MIN_WRITE_INTERVAL_S
 
     async def run(self) -> None:
-        """Write a checkpoint whenever one is due and it is this daemon's turn."""
+        """Write a checkpoint whenever one is due and this daemon should write it."""
         while True:
             await self.clock.sleep(CHECK_PERIOD_S)
             if not self._should_write():
@@ -148,16 +148,16 @@
     def due(self) -> bool:
         """Whether the newest checkpoint is too old for what the log keeps.
 
-        Records at the front of the log expire. If the newest checkpoint went with them, or ended
-        before the oldest record kept, a new daemon could not tell what is in force. So one is
-        due well before, and at once after an outage in which all of it has expired; every daemon
-        still has the state in memory then.
+        The oldest records of the log expire. If the newest checkpoint expired too, or ended before
+        the oldest kept record, a new daemon could not tell what is in force. So one is due well
+        before, and at once after an outage in which all records expired; every daemon still has
+        the state in memory then.
         """
         state = self.log.state
         if state.offset == 0:
             return False
         if state.offset == state.checkpoint_offset + 1:
-            # Nothing but the announcement itself has come since.
+            # Only the announcement itself was folded since.
             return self.oldest >= state.offset or self._age_s() > self.settings.checkpoint_s
         if self.oldest > 0:
             kept = state.offset - self.oldest
@@ -168,9 +168,9 @@
         return self._age_s() > self.settings.checkpoint_s
 
     async def write(self) -> int:
-        """Write a checkpoint of the state as it is, and announce it.
+        """Write a checkpoint of the current state, and announce it.
 
-        :return: the offset it is folded up to.
+        :return: the offset up to which it is folded.
         :raises PlatformError: it was not written.
         :raises AnswerLost: it may have been written.
         """
@@ -181,7 +181,7 @@
         data = await asyncio.to_thread(snapshots.compress, packed)
         chunks = chunk_records(data, offset=offset, writer=self.log.member)
         for chunk in chunks:
-            # A chunk each, so that a whole checkpoint never makes one very large append.
+            # One chunk per append, so that no append is very large.
             await self.platform.append(self.stream, [chunk])
         body = CheckpointBody(offset=offset, chunks=len(chunks))
         await self.log.write("checkpoint", body, timeout_s=ANNOUNCE_TIMEOUT_S, purpose="background")
@@ -189,7 +189,7 @@
         return offset
 
     async def load(self) -> LoadedCheckpoint | None:
-        """Find the newest whole checkpoint.
+        """Find the newest complete checkpoint.
 
         :raises PlatformError: the log can't be read.
         """
@@ -203,7 +203,7 @@
                     return found
                 window *= 4
         except LogExpired:
-            # It expired between two reads; the caller tries again.
+            # Chunks expired between two reads; the caller tries again.
             return None
 
     async def _bounds(self) -> tuple[int, int]:
@@ -234,14 +234,14 @@
             return False
         if self.is_owner("checkpoint"):
             return True
-        # Whose turn it is may hang or be cut off. Two that step in at once do no harm: both write
-        # the same decided state, and the newest whole checkpoint counts.
+        # The owner may be stuck or cut off. Two daemons that take over at once do no harm: both
+        # write the same decided state, and the newest complete checkpoint counts.
         return now - self._due_since > TAKEOVER_DELAY_S * random.uniform(1, 2)
 
     def _age_s(self) -> float:
         if self.log.state.checkpoint_offset < 0:
             return 0.0
-        # By the local clock, which decides only when to write and never what.
+        # The local clock affects only when a checkpoint is written, never its content.
         return max(0.0, self.clock.wall() - self.log.state.checkpoint_time)
 
 
--- a/mustardgap/config_rules.py
+++ b/mustardgap/config_rules.py
@@ -1,4 +1,4 @@
-"""The rule for changes of declarations: all of a record or nothing, each on its own version."""
+"""Validates and applies sets of changes, all or none; each change names its own version."""
 
 from typing import Any
 
@@ -11,12 +11,12 @@
 from .states import State
 
 MAX_CHANGES = 1000
-# The kinds whose values name other declarations.
+# The kinds whose values refer to other declarations.
 REFERRING_PREFIXES = ("service/", "pool/")
 
 
 def check(state: State, config: ConfigBody) -> Rejected | None:
-    """Whether a set of changes is accepted; None when it is."""
+    """Return the rejection of a set of changes, or None when it is accepted."""
     changes = config["changes"]
     return (
         _stale_error(state, changes)
@@ -28,7 +28,7 @@
 
 
 def apply(state: State, config: ConfigBody, offset: int) -> None:
-    """Take in an accepted set of changes; the offset is the new version of each."""
+    """Apply an accepted set of changes; the offset is the new version of each."""
     changed = [
         Declaration(change["key"], offset, change["value"])
         for change in config["changes"]
@@ -67,7 +67,7 @@
 
 
 def _reference_error(state: State, changes: list[Change]) -> Rejected | None:
-    # A new or changed profile, team or policy names nothing, and nothing loses what it names.
+    # A new or changed profile, team or policy refers to nothing and breaks no reference.
     if all(c["value"] is not None and not c["key"].startswith(REFERRING_PREFIXES) for c in changes):
         return None
     for code, key, detail in reference_errors(_values_after(state, changes)):
@@ -76,7 +76,7 @@
 
 
 def _host_error(state: State, changes: list[Change]) -> Rejected | None:
-    """A pool that holds hosts keeps its service, else they would change services undrained."""
+    """Reject removing or reassigning a pool with hosts; they would change services undrained."""
     for change in changes:
         kind, _, name = change["key"].partition("/")
         if kind != "pool" or not state.hosts_by_pool.get(name):
@@ -90,9 +90,9 @@
 
 
 def _budget_error(state: State, changes: list[Change]) -> Rejected | None:
-    """Refuse a shortage that the change makes or makes worse.
+    """Reject changes that cause or worsen a shortage.
 
-    One that is there already, as after a rack failure, must not keep an operator from lessening it.
+    An existing one, as after a rack failure, must not keep an operator from reducing it.
     """
     if not any(_can_cause_shortage(state, change) for change in changes):
         return None
@@ -108,7 +108,7 @@
 
 
 def _can_cause_shortage(state: State, change: Change) -> bool:
-    """Whether a change can make a shortage; most, such as of a time-out, can't."""
+    """Whether a change can cause a shortage; most, such as of a timeout, can't."""
     kind, _, name = change["key"].partition("/")
     if kind != "profile":
         return kind in ("service", "pool")
--- a/mustardgap/entry_rules.py
+++ b/mustardgap/entry_rules.py
@@ -1,4 +1,4 @@
-"""The rule for the membership of entry hosts: they join, leave, or are found to be gone."""
+"""Validates and applies steps of entry hosts: they join, leave, or are found to be gone."""
 
 from . import status_codes
 from .models import EntryBody, EntryState
@@ -10,7 +10,7 @@
 
 
 def check(state: State, step: EntryBody) -> Rejected | None:
-    """Whether a step of an entry host is accepted; None when it is."""
+    """Return the rejection of a step of an entry host, or None when it is accepted."""
     entry = state.entries_by_host.get(step["host"])
     epoch = entry["epoch"] if entry is not None else 0
     if step["base"] != epoch:
@@ -29,7 +29,7 @@
 
 
 def apply(state: State, step: EntryBody, offset: int) -> None:
-    """Take in an accepted step of an entry host."""
+    """Apply an accepted step of an entry host to the state."""
     entry = state.entries_by_host.get(step["host"])
     unclean = entry["unclean"] if entry is not None else -1
     if entry is not None and entry["state"] == "joined" and step["step"] != "leave":
--- a/mustardgap/fold_events.py
+++ b/mustardgap/fold_events.py
@@ -1,4 +1,4 @@
-"""Events of the time line for what the fold decides."""
+"""Timeline events for the decisions of the fold."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -10,10 +10,10 @@
 
 
 class FoldEvents:
-    """Notes each decision of the fold on this daemon's time line.
+    """Adds the decisions of the fold to this daemon's timeline.
 
     :param log: the state stream.
-    :param timeline: where the events go.
+    :param timeline: the timeline to add to.
     """
 
     def __init__(self, *, log: Log, timeline: Timeline) -> None:
@@ -22,7 +22,7 @@
         log.on_fold(self.add_events)
 
     def add_events(self, record: LogRecord, verdict: Verdict) -> None:
-        """Note a record and its verdict."""
+        """Add events for a record's verdict."""
         kind, body = record.value.get("kind"), record.value.get("body")
         if not isinstance(kind, str) or not isinstance(body, dict):
             return
--- a/mustardgap/folds.py
+++ b/mustardgap/folds.py
@@ -1,7 +1,7 @@
-"""The fold: one rule that accepts or rejects each record of the state stream.
+"""Folds the state stream's records into the state; each record is accepted or rejected.
 
-The rule reads only the state and the record, and its time is the log's, so all daemons decide
-alike without talking.
+A decision depends only on the state, the record and the log's time, so all daemons decide the
+same without communicating.
 """
 
 from typing import Any, NamedTuple
@@ -36,7 +36,7 @@
 
 
 class Rule(NamedTuple):
-    """What one kind of record holds, whether it is accepted, and what it then changes.
+    """A kind of record: its body, whether it is accepted, and how it changes the state.
 
     A new kind of record, or a changed rule, needs a higher ``RULES_VERSION``.
     """
@@ -59,16 +59,16 @@
 def fold(state: State, record: LogRecord) -> Verdict:
     """Fold the next record into the state.
 
-    A record that needs newer rules is left unfolded and the offset stays: what it and all later
-    records mean is unknown here, and a guess would make this daemon differ from newer ones.
+    A record that needs newer rules isn't folded and the offset stays: the effect of it and of all
+    later records is unknown here, and a guess would make this daemon differ from newer ones.
 
-    :param state: the state; it is changed in place.
+    :param state: the state; changed in place.
     :param record: the record at ``state.offset``.
-    :return: what was decided.
+    :return: the decision.
     :raises ValueError: the record isn't the next one.
     """
     if record.offset != state.offset:
-        raise ValueError(f"record {record.offset} isn't the next one, {state.offset}")
+        raise ValueError(f"record {record.offset} isn't the next one, which is {state.offset}")
     try:
         value = records.check(record.value)
     except RecordRejected as exc:
@@ -97,7 +97,7 @@
 
 
 def check(state: State, kind: str, body: Any) -> Verdict:
-    """What the fold would decide on a record now; nothing is changed.
+    """Return what the fold would decide on a record now, without a change.
 
     :param state: the folded state.
     :param kind: the kind of record.
@@ -108,7 +108,7 @@
 
 
 def earlier_verdict(state: State, record_id: str) -> Verdict | None:
-    """What was decided on a record id, or None when it isn't remembered."""
+    """Return the verdict on a record id, or None when it isn't remembered."""
     earlier = state.decisions_by_id.get(record_id)
     if earlier is None:
         return None
--- a/mustardgap/job_rules.py
+++ b/mustardgap/job_rules.py
@@ -1,4 +1,4 @@
-"""The rule for steps of jobs: one attempt at a time, fenced by the job's epoch."""
+"""Validates and applies steps of jobs: one attempt at a time, fenced by the job's epoch."""
 
 from typing import Any
 
@@ -29,7 +29,7 @@
 
 
 def check(state: State, step: JobBody) -> Rejected | None:
-    """Whether a step of a job is accepted; None when it is."""
+    """Return the rejection of a step of a job, or None when it is accepted."""
     job = state.jobs_by_id.get(step["job"])
     if step["step"] == "submit":
         return _submit_error(state, step, job)
@@ -39,7 +39,7 @@
 
 
 def apply(state: State, step: JobBody, offset: int) -> None:
-    """Take in an accepted step of a job."""
+    """Apply an accepted step of a job to the state."""
     job = state.jobs_by_id.get(step["job"])
     state.put_job(_submitted_job(state, step) if job is None else _next_state(state, step, job))
 
@@ -68,7 +68,7 @@
 
 
 def _quota_error(state: State, spec: Any, usage: TeamUsage) -> Rejected | None:
-    """Whether one job more, or its cores and memory, would pass the team's quota."""
+    """Reject one more job, or its cores and memory, if that would exceed the team's quota."""
     team = state.value("team", spec["team"])
     if team is None:
         detail = f"no team {spec['team']} is declared"
@@ -92,7 +92,7 @@
 def _step_error(state: State, step: JobBody, job: JobState) -> Rejected | None:
     name = step["step"]
     if name == "cancel":
-        # A wish that holds on any epoch: a step that races with it loses by its own base.
+        # Valid at any epoch; a step that races with it is rejected as stale by its own base.
         if job["cancelled"] or job["phase"] == "ended":
             return wrong_phase(f"job {job['job']} is cancelled or ended already")
         return None
@@ -191,7 +191,7 @@
 
 
 def _closed_attempts(job: JobState, outcome: str) -> list[AttemptState]:
-    """The attempts with the last one, when it runs, closed."""
+    """Return the attempts, with the last one closed if it is running."""
     if not has_running_attempt(job):
         return job["attempts"]
     *earlier, last = job["attempts"]
--- a/mustardgap/ledgers.py
+++ b/mustardgap/ledgers.py
@@ -1,4 +1,4 @@
-"""Lending: which member holds which slots of one service, as their owner has it noted."""
+"""The owner's record of which member holds which of its slots of one service."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 
 
 class Borrower:
-    """A member that asks this owner, and the slots it may hold, by the number of their grant.
+    """A member that asks this owner for slots, and the slots it may hold with their grants.
 
     :param session: the member's session.
     """
@@ -29,7 +29,7 @@
         self.grants: deque[Grant] = deque()
 
     def note_ask(self, ask: Ask, asked_at: float) -> None:
-        """Take in an ask; grants that it couldn't know of are on their way and count."""
+        """Store an ask; grants that the member hadn't handled when it asked count towards it."""
         self.drop_handled_grants(ask.number)
         self.ask = ask
         self.asked_at = asked_at
@@ -37,15 +37,15 @@
         self.missing = ask.count - coming
 
     def drop_handled_grants(self, number: int) -> None:
-        """Take in which grants it has dealt with."""
+        """Drop the grants that it has handled."""
         while self.grants and self.grants[0].number <= number:
             self.grants.popleft()
 
 
 class Ledger:
-    """The members that borrow of an owner, and what they may hold.
+    """The members that borrow from an owner, and the slots they may hold.
 
-    :param expiry_s: seconds after a member's last word when it surely uses no slot any more.
+    :param expiry_s: seconds after a member's last message when it surely uses no slot any more.
     """
 
     def __init__(self, *, expiry_s: float) -> None:
@@ -55,10 +55,10 @@
         self.lent: set[SlotId] = set()
 
     def borrower_in_session(self, member_id: str, session: int, now: float) -> Borrower | None:
-        """A member in its session, or None when that is over.
+        """Return the borrower of a member's session, or None when the session is refused.
 
-        Who comes with a later session holds nothing of the earlier, and starts nothing in it; but
-        what it has started may run on.
+        A later session is refused until the earlier one has expired: the member holds and starts
+        nothing in that one any more, but what it has started may still run.
         """
         borrower = self.borrowers_by_id.get(member_id)
         if borrower is not None and session == borrower.session:
@@ -71,7 +71,7 @@
         return borrower
 
     def free_unheld(self, borrower: Borrower, message: Hold) -> None:
-        """Free what the member doesn't hold of the grants it has dealt with."""
+        """Free the slots of handled grants that the member doesn't hold."""
         borrower.drop_handled_grants(message.number)
         for slot_id, number in list(borrower.grant_numbers_by_id.items()):
             held = message.held.get(slot_id.executor, 0) >> slot_id.position & 1
@@ -79,25 +79,25 @@
                 self.free(borrower, slot_id)
 
     def free(self, borrower: Borrower, slot_id: SlotId) -> None:
-        """Note that a slot is back."""
+        """Record that a slot is back."""
         del borrower.grant_numbers_by_id[slot_id]
         self.lent.discard(slot_id)
 
     def lend(self, borrower: Borrower, slot_id: SlotId) -> None:
-        """Note a slot for a member's next grant."""
+        """Record a slot for a member's next grant."""
         borrower.grant_numbers_by_id[slot_id] = borrower.grant_number + 1
         borrower.missing -= 1
         self.lent.add(slot_id)
 
     def take_return(self, borrower: Borrower, message: Return) -> None:
-        """Free what a member gives back, by the number of the grant that lent it."""
+        """Free the slots that a member returns, by the number of the grant that lent them."""
         for number, masks in message.numbered.items():
             for slot_id in slot_ids_of(masks):
                 if borrower.grant_numbers_by_id.get(slot_id) == number:
                     self.free(borrower, slot_id)
 
     def expire_borrowers(self, now: float) -> None:
-        """Free what silent members held, once they surely use it no more."""
+        """Free the slots of silent members, once they surely use none any more."""
         for member_id, borrower in list(self.borrowers_by_id.items()):
             if now > borrower.heard_at + self.expiry_s:
                 del self.borrowers_by_id[member_id]
@@ -107,7 +107,7 @@
             del self.ended_sessions_by_id[member_id]
 
     def askers(self) -> list[tuple[int, float, str]]:
-        """Who lacks slots: urgency, since when, id."""
+        """Return the urgency, time of asking and id of each member that lacks slots."""
         return [
             (borrower.ask.urgency, borrower.asked_at, member_id)
             for member_id, borrower in self.borrowers_by_id.items()
@@ -116,7 +116,7 @@
 
 
 def masks_of(slot_ids: Iterable[SlotId]) -> Masks:
-    """Slots by executor."""
+    """Return slots as bit masks by executor."""
     masks: Masks = {}
     for executor, index in slot_ids:
         masks[executor] = masks.get(executor, 0) | 1 << index
@@ -124,7 +124,7 @@
 
 
 def slot_ids_of(masks: Masks) -> list[SlotId]:
-    """The single slots of masks."""
+    """Return the slots of masks."""
     return [
         SlotId(executor, index)
         for executor, mask in masks.items()
--- a/mustardgap/states.py
+++ b/mustardgap/states.py
@@ -1,4 +1,4 @@
-"""The state that every daemon folds from the log, with the indexes its rules need."""
+"""The state that every daemon folds from the log, with the indexes that its rules need."""
 
 from collections import Counter, deque
 from collections.abc import Iterable
@@ -22,17 +22,17 @@
 
 
 class RecordDecision(NamedTuple):
-    """What the fold decided on a record id, by the number of its result code."""
+    """The fold's decision on a record id, as the number of its result code."""
 
     offset: int
     code: int
 
 
 class TeamUsage(NamedTuple):
-    """What a team's jobs hold, in thousandths of a core and of a GB, and how many there are.
+    """What a team's running attempts use, in thousandths of a core or GB, and its live jobs.
 
-    Whole numbers, so that a sum built step by step equals one built anew from a checkpoint; sums
-    of floats would differ in the last digit and let two daemons decide differently.
+    Integers, so that a sum built step by step equals one rebuilt from a checkpoint; sums of floats
+    would differ in the last digit and let two daemons decide differently.
     """
 
     cores: int = 0
@@ -41,7 +41,7 @@
 
 
 class State:
-    """All that was decided on the log up to an offset.
+    """The result of all decisions on the log up to an offset.
 
     Values are replaced, never changed in place, so a reader may keep one while the fold goes on.
     """
@@ -71,16 +71,16 @@
         self._values_by_kind: dict[str, dict[str, Any]] = {}
 
     def replace_with(self, other: "State") -> None:
-        """Become what another state is, so that every part that holds this one sees it."""
+        """Take on another state's content, so that every holder of this object sees it."""
         vars(self).update(vars(other))
 
     def value(self, kind: str, name: str) -> Any:
-        """The value of one declaration, or None."""
+        """Return the value of a declaration, or None."""
         declaration = self.declarations_by_key.get(f"{kind}/{name}")
         return None if declaration is None else declaration.value
 
     def declared(self, kind: str) -> dict[str, Any]:
-        """The values of all declarations of a kind, by name."""
+        """Return the values of all declarations of a kind, by name."""
         if kind not in self._values_by_kind:
             prefix = f"{kind}/"
             self._values_by_kind[kind] = {
@@ -91,21 +91,21 @@
         return self._values_by_kind[kind]
 
     def profile_of(self, service: str) -> Profile | None:
-        """The profile that a service has chosen, or None."""
+        """Return the profile that a service refers to, or None."""
         value = self.value("service", service)
         return None if value is None else self.value("profile", value["profile"])
 
     def hosts_in_pool(self, pool: str) -> list[HostState]:
-        """All hosts of a pool in any phase, by name ("" is the spare pool)."""
+        """Return all hosts of a pool in any phase, by name ("" is the spare pool)."""
         return [self.hosts_by_name[name] for name in sorted(self.hosts_by_pool.get(pool, ()))]
 
     def hosts_of(self, service: str) -> list[HostState]:
-        """All hosts in any phase of the pools that serve a service."""
+        """Return all hosts, in any phase, of the pools that serve a service."""
         pools = self.pools_by_service.get(service, [])
         return [host for pool in pools for host in self.hosts_in_pool(pool)]
 
     def put_declarations(self, declarations: Iterable[Declaration], removed: Iterable[str]) -> None:
-        """Take in accepted declarations, and drop the removed keys."""
+        """Store accepted declarations, and delete the removed keys."""
         changed = set()
         for declaration in declarations:
             self.declarations_by_key[declaration.key] = declaration
@@ -121,7 +121,7 @@
                 self.pools_by_service.setdefault(pool["service"], []).append(name)
 
     def put_host(self, host: HostState) -> None:
-        """Take in a host's new state."""
+        """Store a host's new state."""
         self.drop_host(host["host"])
         host["facts"] = self._intern_facts(host["facts"])
         self.hosts_by_name[host["host"]] = host
@@ -129,7 +129,7 @@
         self._count_healthy(host, 1)
 
     def drop_host(self, name: str) -> None:
-        """Forget a host."""
+        """Delete a host."""
         host = self.hosts_by_name.pop(name, None)
         if host is None:
             return
@@ -137,7 +137,7 @@
         self._count_healthy(host, -1)
 
     def put_job(self, job: JobState) -> None:
-        """Take in a job's new state."""
+        """Store a job's new state."""
         before = self.jobs_by_id.get(job["job"])
         if before is not None:
             self._count_usage(before, -1)
@@ -147,7 +147,7 @@
             self.ended_jobs.append(job["job"])
 
     def put_wave(self, wave: WaveState) -> None:
-        """Take in a wave's new state; only the latest finished waves are kept."""
+        """Store a wave's new state; only the latest finished waves are kept."""
         self.waves_by_name.pop(wave["wave"], None)
         self.waves_by_name[wave["wave"]] = wave
         finished = [w["wave"] for w in self.waves_by_name.values() if w["phase"] == "finished"]
@@ -155,14 +155,14 @@
             del self.waves_by_name[name]
 
     def remember_decision(self, record_id: str, decision: RecordDecision) -> None:
-        """Remember what was decided on a record id.
+        """Remember the decision on a record id.
 
         An append whose answer was lost is repeated with the same id, so the log may hold it twice;
-        folded twice, a change made since would be undone. Ids are kept for the last
-        ``REMEMBERED_IDS`` records only. That is enough: a copy can't stand before the offset its
-        writer had ``seen``, so a record with ``seen`` at ``floor`` or later has all its copies in
-        memory, and one made earlier is turned down as stale. An operator's own id that is sent
-        again later than that, through another daemon, still meets the versions in ``base``.
+        folded twice, it would undo changes made in between. Ids are kept for the last
+        ``REMEMBERED_IDS`` records only. That is enough: no copy precedes the offset its writer had
+        ``seen``, so all copies of a record with ``seen`` at ``floor`` or later are remembered, and
+        a record made earlier is rejected as stale. An operator's own id that is repeated even
+        later, through another daemon, is still checked against the versions in ``base``.
         """
         self.decisions_by_id[record_id] = decision
         if len(self.decisions_by_id) > REMEMBERED_IDS:
@@ -170,7 +170,7 @@
             self.floor = self.decisions_by_id.pop(oldest).offset + 1
 
     def drop_expired(self) -> None:
-        """Drop what is kept for a while only, by the log's time, so that the state is bounded."""
+        """Delete what is past its retention, by the log's time, so that the state is bounded."""
         while self.ended_jobs:
             job = self.jobs_by_id[self.ended_jobs[0]]
             if (
@@ -197,7 +197,7 @@
         }
 
     def digest(self) -> str:
-        """A short hash that is equal for equal states."""
+        """Return a short hash that is equal for equal states."""
         parts = (
             self.offset,
             self.time,
@@ -251,17 +251,17 @@
 
 
 def domain_of(facts: HostFacts, survive: str) -> str:
-    """The failure domain of a host; racks of two data centers may bear the same name."""
+    """Return a host's failure domain; racks of two data centers may have the same name."""
     if survive == "data_center":
         return facts["data_center"]
     return f"{facts['data_center']}/{facts['rack']}"
 
 
 def has_running_attempt(job: JobState) -> bool:
-    """Whether a job has an attempt that holds room on a worker."""
+    """Whether a job has an attempt that uses capacity of a worker."""
     return bool(job["attempts"]) and job["attempts"][-1]["outcome"] == "running"
 
 
 def size_in_thousandths(spec: Any) -> tuple[int, int]:
-    """A job's cores and memory in whole thousandths."""
+    """Return a job's cores and memory in whole thousandths."""
     return round(spec["cores"] * 1000), round(spec["memory_gb"] * 1000)
