--- a/features/folds.feature
+++ b/features/folds.feature
@@ -1,30 +1,30 @@
-Feature: The fold decides alike everywhere
+Feature: The fold decides the same on every daemon
 
   Scenario: racing daemons on a log with copies, gaps and replacements
-    Operators, planners and actors on three daemons write on what each has folded so far, so they
-    race. Records come late or twice, daemons lag, are replaced, start from a checkpoint or from
-    a peer, and the front of the log expires. Whatever the order, each daemon must decide as a
-    naive fold of the whole log does: no budget broken by a drain, no host in two pools, nothing
-    accepted that reverts, no second attempt at a job that must not run twice.
+    Operators, planners and actors on three daemons write records based on what each has folded,
+    so they race. Records arrive late or twice, daemons lag, are replaced, start from a checkpoint
+    or a peer, and the front of the log expires. Whatever the order, each daemon must decide as a
+    naive fold of the whole log does: no drain breaks a budget, no host is in two pools, no record
+    reverts a change, and a job that must not run twice gets no second attempt.
     When the folding daemons run 60 times for 50 steps
     Then the folding daemons took at least 2500 steps in all
 
   Scenario Outline: each safeguard is needed
-    The same daemons with one safeguard off. An operator sees a change reverted, a service below
-    its budget, or two daemons that disagree for good; the state machine must notice, else it
-    would prove nothing about the safeguard.
+    With one safeguard off, a change is reverted, a service falls below its budget, or two daemons
+    disagree for good. The state machine must detect it, or it would prove nothing about the
+    safeguard.
     Given folding without the safeguard that <safeguard>
-    Then the folding daemons break a promise within 300 runs
+    Then the folding daemons violate an invariant within 300 runs
 
     Examples:
       | safeguard                                       |
       | ids are remembered                              |
-      | a record made too long ago is turned down       |
-      | a change names the version it was made on       |
-      | declarations must fit together                  |
+      | a record made too long ago is rejected          |
+      | a change names its base version                 |
+      | declarations must be consistent                 |
       | a declaration must be satisfiable               |
       | a pool with hosts keeps its service             |
-      | a drain must leave the budgets whole            |
+      | a drain must not break a budget                 |
       | a host leaves its pool before it joins another  |
       | a host joins only where there is room           |
       | a host's step names its epoch                   |
@@ -37,8 +37,8 @@
 
   Scenario Outline: the folded state stays bounded with <count> <what>
     Jobs, waves, hosts and record ids come and go for months. What is kept of them must not grow,
-    or each daemon would pass its memory; and a daemon that started from a checkpoint in between
-    must forget the same, by the log's time, as one that folded it all.
+    or daemons would run out of memory; and a daemon that started from a checkpoint in between
+    must delete the same, by the log's time, as one that folded all records.
     When folding <count> <what> with a restart from a checkpoint every 997
     Then the folded state keeps at most <most> <kept> and both agree
 
--- a/features/steps/folds_steps.py
+++ b/features/steps/folds_steps.py
@@ -30,11 +30,11 @@
 
 
 def accept_all(*args, **kwargs):
-    """Turns nothing down."""
+    """Rejects nothing."""
 
 
 def restore_older(log, data):
-    """Takes an older snapshot over as well."""
+    """Restores an older snapshot too."""
     log.state = snapshots.decode(data)
     return True
 
@@ -48,23 +48,23 @@
 
 
 def remember_no_id(state, record_id, decision):
-    """Moves the floor as ever, but knows no id again."""
+    """Moves the floor as usual, but recognizes no id."""
     ORIGINAL_REMEMBER_DECISION(state, f"{record_id} {decision.offset}", decision)
 
 
 def skew_time(state):
-    """Reads something that differs between two daemons."""
+    """Adds a time that differs between two daemons."""
     state.time += id(state) % 97 / 97
 
 
 SAFEGUARDS = {
     "ids are remembered": (states.State, "remember_decision", remember_no_id),
-    "a record made too long ago is turned down": (folds, "_too_old_error", accept_all),
-    "a change names the version it was made on": (config_rules, "_stale_error", accept_all),
-    "declarations must fit together": (config_rules, "_reference_error", accept_all),
+    "a record made too long ago is rejected": (folds, "_too_old_error", accept_all),
+    "a change names its base version": (config_rules, "_stale_error", accept_all),
+    "declarations must be consistent": (config_rules, "_reference_error", accept_all),
     "a declaration must be satisfiable": (config_rules, "_budget_error", accept_all),
     "a pool with hosts keeps its service": (config_rules, "_host_error", accept_all),
-    "a drain must leave the budgets whole": (host_rules, "may_drain", accept_all),
+    "a drain must not break a budget": (host_rules, "may_drain", accept_all),
     "a host leaves its pool before it joins another": (host_rules, "_pool_error", accept_all),
     "a host joins only where there is room": (host_rules, "_join_error", accept_all),
     "a host's step names its epoch": (host_rules, "_step_error", accept_all),
@@ -109,7 +109,7 @@
     context.safeguard = SAFEGUARDS[safeguard]
 
 
-@then("the folding daemons break a promise within {examples:d} runs")
+@then("the folding daemons violate an invariant within {examples:d} runs")
 def check_violation(context, examples):
     target, name, replacement = context.safeguard
     broken = None
@@ -118,7 +118,7 @@
             run_fold_machine(examples, 50)
         except Exception as exc:
             broken = exc
-    assert broken is not None, f"nothing noticed that {name} is off"
+    assert broken is not None, f"no check failed with {name} off"
     print(f"{name} off: {type(broken).__name__}: {str(broken)[:200]}")
 
 
@@ -131,7 +131,7 @@
 
 
 def short_lived_records(what):
-    """Bodies of things that come and go, each with its kind."""
+    """Kinds and bodies of records of what comes and goes."""
     yield "config", {"changes": [{"key": "team/t", "base": -1, "value": TEAM}]}
     yield "host", {**HOST, "host": "h", "phase": "in_service", "facts": FACTS}
     for number in count():
--- a/features/support/fold_machine.py
+++ b/features/support/fold_machine.py
@@ -128,18 +128,22 @@
             self._check_accepted(value["kind"], value["body"], before)
 
     def _check_accepted(self, kind, body, before):
-        """What must hold whatever the rules say, from the platform's record alone."""
+        """Check what must hold whatever the rules say, from the naive fold alone."""
         if kind == "config":
             for change in body["changes"]:
                 if change["base"] >= 0:
                     race = (change["key"], change["base"])
-                    assert race not in self.won_races, f"two changes won on {race}"
+                    assert race not in self.won_races, f"two changes were accepted on {race}"
                     self.won_races.add(race)
         if kind != "host" or body["host"] not in before:
             return
         host = before[body["host"]]
         if body["pool"] != host["pool"] and host["pool"]:
-            assert host["phase"] in ("drained", "failed", "set_aside"), f"{host} moved"
+            assert host["phase"] in (
+                "drained",
+                "failed",
+                "set_aside",
+            ), f"{host} moved before it left its pool"
         pool_of = self.oracle.values.get(f"pool/{host['pool']}", {})
         planned = host["phase"] == "in_service" and body["phase"] in ("draining", "set_aside")
         if planned and pool_of.get("service"):
@@ -153,7 +157,7 @@
         )
 
     def _deliver(self, number, kind, body, delivery):
-        """Append a record; its answer may be lost and it may come late or more than once."""
+        """Append a record once, twice (if its answer was lost), or later."""
         value = self._make_record(number, kind, body)
         if delivery == "late":
             self.late_records.append(value)
@@ -317,7 +321,7 @@
         log = self.daemons[number]
         before, digest = log.offset, log.state.digest()
         log.restore(data.draw(st.sampled_from(self.checkpoints)))
-        assert log.offset >= before, "a checkpoint took the state back"
+        assert log.offset >= before, "a checkpoint moved the state back"
         assert log.offset > before or log.state.digest() == digest
 
     @rule(number=daemon_numbers)
@@ -364,7 +368,7 @@
             assert not may_run_twice, f"{name} may have run twice"
 
     def teardown(self):
-        """All catch up, by checkpoint and the log's tail, and are where a whole fold ends."""
+        """All catch up, by checkpoint and the log's tail, and match a fold of the whole log."""
         reference = make_log("reference")
         reference.receive(
             msgspec.json.decode(msgspec.json.encode(self.log_records), type=list[LogRecord])
@@ -374,4 +378,6 @@
                 for data in self.checkpoints:
                     log.restore(data)
             log.receive(self.log_records[log.offset :])
-            assert log.state.digest() == reference.state.digest(), "checkpoint and tail differ"
+            assert (
+                log.state.digest() == reference.state.digest()
+            ), "differs from a fold of the whole log"
--- a/features/support/naive_folds.py
+++ b/features/support/naive_folds.py
@@ -1,4 +1,4 @@
-"""The fold once more, obviously right and slow: no indexes, each budget by trying every loss."""
+"""A simple, slow reference fold: no indexes, and each budget is checked by trying every loss."""
 
 from itertools import pairwise, product
 
@@ -67,7 +67,7 @@
         ]
 
     def meets_availability(self, service, without=""):
-        """Whether a service keeps its least number whichever single domain is lost."""
+        """Whether a service keeps its minimum whichever single domain is lost."""
         hosts = [host for host in self.serving(service) if host["host"] != without]
         available = self.profile(service)["availability"]
         losses = [[]]
@@ -154,7 +154,7 @@
         return accepted
 
     def entry(self, host):
-        """What a host's steps come to."""
+        """The state that a host's steps result in."""
         steps = self.entries[host]
         states = {"join": "joined", "leave": "left", "gone": "gone"}
         unclean = [
@@ -216,7 +216,7 @@
         return True
 
     def _shortages(self, values):
-        """How many hosts each budget misses."""
+        """How many hosts each budget lacks."""
         phases = ("in_service", "draining", "drained", "rebooting")
         healthy = [host for host in self.hosts.values() if host["phase"] in phases]
         pools = [value for key, value in values.items() if key.startswith("pool/")]
@@ -309,7 +309,7 @@
 
 
 def survival_bounds(hosts, *, min_hosts, survive):
-    """The fewest hosts that keep ``min_hosts``, and the most that any choice of hosts keeps.
+    """The fewest hosts of which a loss leaves ``min_hosts``, and the most that a loss can leave.
 
     Tries every number of hosts in every domain.
     """
