--- a/features/support/fold_machine.py
+++ b/features/support/fold_machine.py
@@ -268,13 +268,13 @@
         number=daemon_numbers,
         host=st.sampled_from(["e1", "e2"]),
         step=st.sampled_from(["join", "join", "leave", "gone"]),
-        incarnation_increase=st.integers(0, 1),
+        later=st.integers(0, 1),
         delivery=deliveries,
     )
-    def step_entry(self, number, host, step, incarnation_increase, delivery):
+    def step_entry(self, number, host, step, later, delivery):
         known = self.daemons[number].state.entries_by_host.get(host)
         base, run = (known["epoch"], known["incarnation"]) if known else (0, 1)
-        body = {"host": host, "base": base, "incarnation": run + incarnation_increase, "step": step}
+        body = {"host": host, "base": base, "incarnation": run + later, "step": step}
         self._deliver(number, "entry", body, delivery)
 
     @precondition(lambda self: self.late_records)
