--- a/mustardgap/brokers.py
+++ b/mustardgap/brokers.py
@@ -11,7 +11,7 @@
 
 from .executors import ExecutorView
 from .holdings import Holding, Loan
-from .ledgers import ids_of, masks_of
+from .ledgers import masks_of, slot_ids_of
 from .lenders import MIN_WAIT_LEAD_S, Lender
 from .members import Member, Members, MemberState
 from .messages import (
@@ -303,7 +303,7 @@
         holding.last_grant_number = message.number
         now = self.clock.monotonic()
         self._extend_lease(holding, message.sent)
-        for slot_id in ids_of(message.slots):
+        for slot_id in slot_ids_of(message.slots):
             loan = holding.loans_by_id.get(slot_id, Loan(0, 0, now, 0.0))
             holding.loans_by_id[slot_id] = loan._replace(grant_number=message.number)
             holding.return_when_free.discard(slot_id)
@@ -311,7 +311,7 @@
         self.slots.serve(holding.service)
         if not self.slots.waiting(holding.service):
             # Each owner is asked for all missing slots, so several may lend them at once.
-            self._return_slots(holding, [i for i in ids_of(message.slots) if i in holding.idle()])
+            self._return_slots(holding, [i for i in slot_ids_of(message.slots) if i in holding.idle()])
 
     def apply_held(self, sender: Member, message: Held) -> None:
         """Apply an owner's answer to a renewal."""
@@ -324,7 +324,7 @@
             return
         self._extend_lease(holding, message.sent)
         holding.last_grant_number = max(holding.last_grant_number, message.number)
-        lost = set(ids_of(message.drop)) & holding.loans_by_id.keys()
+        lost = set(slot_ids_of(message.drop)) & holding.loans_by_id.keys()
         holding.return_when_free |= lost
         self._return_slots(holding, [i for i in lost if not holding.loans_by_id[i].use_number])
 
--- a/mustardgap/checkpoints.py
+++ b/mustardgap/checkpoints.py
@@ -1,4 +1,4 @@
-"""Checkpoints: snapshots on the log, which outlive the retention of the state stream."""
+"""Checkpoints: snapshots on the log, because records of the state stream expire."""
 
 import asyncio
 import base64
@@ -21,13 +21,13 @@
 CHUNK_BYTES = 128 * 1024
 MAX_CHUNKS = 256
 PAGE_CHUNKS = 8
-CHECK_S = 1.0
-MIN_GAP_S = 5.0
-# How long the others leave a due checkpoint to the daemon whose turn it is.
-STEP_IN_S = 10.0
-ANNOUNCE_S = 10.0
-# A checkpoint is due again when no more than this share of the kept records comes before it.
-EXPIRING = 0.25
+CHECK_PERIOD_S = 1.0
+MIN_WRITE_INTERVAL_S = 5.0
+# Others write a due checkpoint after 1 to 2 times this delay if its owner doesn't.
+TAKEOVER_DELAY_S = 10.0
+ANNOUNCE_TIMEOUT_S = 10.0
+# A checkpoint is due when less than this share of the kept records precedes the newest one.
+EXPIRY_MARGIN_SHARE = 0.25
 
 
 class ChunkBody(msgspec.Struct, kw_only=True):
@@ -40,15 +40,15 @@
     data: str
 
 
-class Loaded(NamedTuple):
-    """A whole checkpoint found on the log."""
+class LoadedCheckpoint(NamedTuple):
+    """A complete checkpoint found on the log."""
 
     offset: int
     data: bytes
 
 
-class Writer(Protocol):
-    """What checkpoints need of the log they belong to."""
+class StateLog(Protocol):
+    """The part of the log that checkpoints use."""
 
     member: str
     state: State
@@ -62,7 +62,7 @@
 
 
 def chunk_records(data: bytes, *, offset: int, writer: str) -> list[Record]:
-    """Cut a snapshot into the records of a checkpoint.
+    """Split a snapshot into the records of a checkpoint.
 
     :param data: the snapshot.
     :param offset: the offset up to which it is folded.
@@ -83,16 +83,16 @@
     return made
 
 
-def latest(chunks: Iterable[LogRecord]) -> Loaded | None:
-    """The newest whole checkpoint among the records of the checkpoint stream.
+def latest_checkpoint(chunks: Iterable[LogRecord]) -> LoadedCheckpoint | None:
+    """Return the newest complete checkpoint among the records of the checkpoint stream.
 
-    Two daemons may have written one at the same time; their chunks mix and are told apart by
-    the snapshot's id. One whose writer died halfway is passed over.
+    If two daemons write at the same time, their chunks interleave and are told apart by the
+    snapshot's id. A checkpoint whose writer died midway is skipped.
     """
     pieces_by_snapshot: dict[str, dict[int, str]] = {}
     found: tuple[int, str] | None = None
     for record in chunks:
-        body = _chunk(record)
+        body = _decode_chunk(record)
         if body is None:
             continue
         pieces = pieces_by_snapshot.setdefault(body.snapshot, {})
@@ -103,42 +103,42 @@
         return None
     pieces = pieces_by_snapshot[found[1]]
     data = b"".join(base64.b85decode(pieces[number]) for number in sorted(pieces))
-    return Loaded(found[0], data)
+    return LoadedCheckpoint(found[0], data)
 
 
 class Checkpoints:
     """Writes and finds the checkpoints of one daemon.
 
-    They stand on a stream of their own, so that a starting daemon finds the newest without
-    reading through the state stream. A small record there tells all daemons of each.
+    They have a stream of their own, so that a starting daemon finds the newest without reading
+    the state stream. A small record on the state stream announces each to all daemons.
 
-    ``is_mine`` says whether it is this daemon's turn; ``oldest`` is the oldest offset that the
-    state stream was last seen to keep.
+    ``is_owner`` tells whether this daemon should write; ``oldest`` is the oldest offset that the
+    state stream kept when it was last read.
 
     :param platform: the platform's log.
     :param settings: the section ``platform``.
     :param clock: the clocks to read.
-    :param log: the log whose state is kept.
+    :param log: the log whose state is saved.
     """
 
     def __init__(
-        self, *, platform: Platform, settings: PlatformSettings, clock: Clock, log: Writer
+        self, *, platform: Platform, settings: PlatformSettings, clock: Clock, log: StateLog
     ) -> None:
         self.platform = platform
         self.settings = settings
         self.clock = clock
         self.log = log
         self.stream = f"{settings.stream}-checkpoints"
-        self.is_mine: Callable[[str], bool] = lambda key: True
+        self.is_owner: Callable[[str], bool] = lambda key: True
         self.oldest = 0
         self._due_since: float | None = None
-        self._written_at = -MIN_GAP_S
+        self._written_at = -MIN_WRITE_INTERVAL_S
 
     async def run(self) -> None:
-        """Write a checkpoint whenever one is due and it is this daemon's turn."""
+        """Write a checkpoint whenever one is due and this daemon should write it."""
         while True:
-            await self.clock.sleep(CHECK_S)
-            if not self._turn():
+            await self.clock.sleep(CHECK_PERIOD_S)
+            if not self._should_write():
                 continue
             try:
                 await self.write()
@@ -148,29 +148,29 @@
     def due(self) -> bool:
         """Whether the newest checkpoint is too old for what the log keeps.
 
-        Records at the front of the log expire. If the newest checkpoint went with them, or ended
-        before the oldest record kept, a new daemon could not tell what is in force. So one is
-        due well before, and at once after an outage in which all of it has expired; every daemon
-        still has the state in memory then.
+        The oldest records of the log expire. If the newest checkpoint expired too, or ended before
+        the oldest kept record, a new daemon could not tell what is in force. So one is due well
+        before, and at once after an outage in which all records expired; every daemon still has
+        the state in memory then.
         """
         state = self.log.state
         if state.offset == 0:
             return False
         if state.offset == state.checkpoint_offset + 1:
-            # Nothing but the announcement itself has come since.
+            # Only the announcement itself was folded since.
             return self.oldest >= state.offset or self._age_s() > self.settings.checkpoint_s
         if self.oldest > 0:
             kept = state.offset - self.oldest
-            if state.checkpoint_offset < self.oldest + kept * EXPIRING:
+            if state.checkpoint_offset < self.oldest + kept * EXPIRY_MARGIN_SHARE:
                 return True
         if state.offset - state.checkpoint_offset > self.settings.checkpoint_records:
             return True
         return self._age_s() > self.settings.checkpoint_s
 
     async def write(self) -> int:
-        """Write a checkpoint of the state as it is, and announce it.
+        """Write a checkpoint of the current state, and announce it.
 
-        :return: the offset it is folded up to.
+        :return: the offset up to which it is folded.
         :raises PlatformError: it was not written.
         :raises AnswerLost: it may have been written.
         """
@@ -181,15 +181,15 @@
         data = await asyncio.to_thread(snapshots.compress, packed)
         chunks = chunk_records(data, offset=offset, writer=self.log.member)
         for chunk in chunks:
-            # A chunk each, so that a whole checkpoint never makes one very large append.
+            # One chunk per append, so that no append is very large.
             await self.platform.append(self.stream, [chunk])
         body = CheckpointBody(offset=offset, chunks=len(chunks))
-        await self.log.write("checkpoint", body, timeout_s=ANNOUNCE_S, purpose="background")
+        await self.log.write("checkpoint", body, timeout_s=ANNOUNCE_TIMEOUT_S, purpose="background")
         metrics.checkpoints.add(1)
         return offset
 
-    async def load(self) -> Loaded | None:
-        """Find the newest whole checkpoint.
+    async def load(self) -> LoadedCheckpoint | None:
+        """Find the newest complete checkpoint.
 
         :raises PlatformError: the log can't be read.
         """
@@ -198,12 +198,12 @@
             window = PAGE_CHUNKS
             while True:
                 start = max(oldest, end - window)
-                found = latest(await self._read(start, end))
+                found = latest_checkpoint(await self._read(start, end))
                 if found is not None or start == oldest:
                     return found
                 window *= 4
         except LogExpired:
-            # It expired between two reads; the caller tries again.
+            # Chunks expired between two reads; the caller tries again.
             return None
 
     async def _bounds(self) -> tuple[int, int]:
@@ -223,29 +223,29 @@
             start = page.next_offset
         return found
 
-    def _turn(self) -> bool:
+    def _should_write(self) -> bool:
         now = self.clock.monotonic()
         if not self.log.current or not self.due():
             self._due_since = None
             return False
         if self._due_since is None:
             self._due_since = now
-        if now - self._written_at < MIN_GAP_S:
+        if now - self._written_at < MIN_WRITE_INTERVAL_S:
             return False
-        if self.is_mine("checkpoint"):
+        if self.is_owner("checkpoint"):
             return True
-        # Whose turn it is may hang or be cut off. Two that step in at once do no harm: both write
-        # the same decided state, and the newest whole checkpoint counts.
-        return now - self._due_since > STEP_IN_S * random.uniform(1, 2)
+        # The owner may be stuck or cut off. Two daemons that take over at once do no harm: both
+        # write the same decided state, and the newest complete checkpoint counts.
+        return now - self._due_since > TAKEOVER_DELAY_S * random.uniform(1, 2)
 
     def _age_s(self) -> float:
         if self.log.state.checkpoint_offset < 0:
             return 0.0
-        # By the local clock, which decides only when to write and never what.
+        # The local clock affects only when a checkpoint is written, never its content.
         return max(0.0, self.clock.wall() - self.log.state.checkpoint_time)
 
 
-def _chunk(record: LogRecord) -> ChunkBody | None:
+def _decode_chunk(record: LogRecord) -> ChunkBody | None:
     try:
         value = records.check(record.value)
         body = msgspec.convert(value["body"], ChunkBody)
--- a/mustardgap/config_rules.py
+++ b/mustardgap/config_rules.py
@@ -1,4 +1,4 @@
-"""The rule for changes of declarations: all of a record or nothing, each on its own version."""
+"""Validates and applies sets of changes, all or none; each change names its own version."""
 
 from typing import Any
 
@@ -11,12 +11,12 @@
 from .states import State
 
 MAX_CHANGES = 1000
-# The kinds whose values name other declarations.
-NAMING = ("service/", "pool/")
+# The kinds whose values refer to other declarations.
+REFERRING_PREFIXES = ("service/", "pool/")
 
 
 def check(state: State, config: ConfigBody) -> Rejected | None:
-    """Whether a set of changes is accepted; None when it is."""
+    """Return the rejection of a set of changes, or None when it is accepted."""
     changes = config["changes"]
     return (
         _stale_error(state, changes)
@@ -27,8 +27,8 @@
     )
 
 
-def put(state: State, config: ConfigBody, offset: int) -> None:
-    """Take in an accepted set of changes; the offset is the new version of each."""
+def apply(state: State, config: ConfigBody, offset: int) -> None:
+    """Apply an accepted set of changes; the offset is the new version of each."""
     changed = [
         Declaration(change["key"], offset, change["value"])
         for change in config["changes"]
@@ -67,16 +67,16 @@
 
 
 def _reference_error(state: State, changes: list[Change]) -> Rejected | None:
-    # A new or changed profile, team or policy names nothing, and nothing loses what it names.
-    if all(c["value"] is not None and not c["key"].startswith(NAMING) for c in changes):
+    # A new or changed profile, team or policy refers to nothing and breaks no reference.
+    if all(c["value"] is not None and not c["key"].startswith(REFERRING_PREFIXES) for c in changes):
         return None
-    for code, key, detail in reference_errors(_after(state, changes)):
+    for code, key, detail in reference_errors(_values_after(state, changes)):
         return Rejected(code=code, detail=f"{key}: {detail}")
     return None
 
 
 def _host_error(state: State, changes: list[Change]) -> Rejected | None:
-    """A pool that holds hosts keeps its service, else they would change services undrained."""
+    """Reject removing or reassigning a pool with hosts; they would change services undrained."""
     for change in changes:
         kind, _, name = change["key"].partition("/")
         if kind != "pool" or not state.hosts_by_pool.get(name):
@@ -90,16 +90,16 @@
 
 
 def _budget_error(state: State, changes: list[Change]) -> Rejected | None:
-    """Refuse a shortage that the change makes or makes worse.
+    """Reject changes that cause or worsen a shortage.
 
-    One that is there already, as after a rack failure, must not keep an operator from lessening it.
+    An existing one, as after a rack failure, must not keep an operator from reducing it.
     """
-    if not any(_touches_budgets(state, change) for change in changes):
+    if not any(_can_cause_shortage(state, change) for change in changes):
         return None
-    after = shortages(state, _after(state, changes))
+    after = shortages(state, _values_after(state, changes))
     if not after:
         return None
-    before = {(s.budget, s.limit): s.short for s in shortages(state, _after(state, []))}
+    before = {(s.budget, s.limit): s.short for s in shortages(state, _values_after(state, []))}
     worse: list[Shortage] = [s for s in after if s.short > before.get((s.budget, s.limit), 0)]
     if not worse:
         return None
@@ -107,8 +107,8 @@
     return Rejected(code=status_codes.UNSATISFIABLE, detail=detail)
 
 
-def _touches_budgets(state: State, change: Change) -> bool:
-    """Whether a change can make a shortage; most, such as of a time-out, can't."""
+def _can_cause_shortage(state: State, change: Change) -> bool:
+    """Whether a change can cause a shortage; most, such as of a timeout, can't."""
     kind, _, name = change["key"].partition("/")
     if kind != "profile":
         return kind in ("service", "pool")
@@ -118,7 +118,7 @@
     return any(before[part] != after[part] for part in ("room", "availability"))
 
 
-def _after(state: State, changes: list[Change]) -> dict[str, Any]:
+def _values_after(state: State, changes: list[Change]) -> dict[str, Any]:
     values = {key: declaration.value for key, declaration in state.declarations_by_key.items()}
     for change in changes:
         if change["value"] is None:
--- a/mustardgap/lenders.py
+++ b/mustardgap/lenders.py
@@ -72,7 +72,7 @@
 
     def restart(self) -> None:
         """Forget all loans; a new run may use no slot until they must have ended."""
-        self.ledger = Ledger(lapse_s=self.lease_s + self.hold_s())
+        self.ledger = Ledger(expiry_s=self.lease_s + self.hold_s())
 
     def idle(self) -> list[tuple[SlotId, ExecutorView]]:
         """Return the usable own slots that are neither in use nor lent, and their executors."""
@@ -101,38 +101,38 @@
     def apply_ask(self, sender: Member, message: Ask) -> None:
         """Record how many slots a member lacks, and lend idle ones."""
         now = self.clock.monotonic()
-        borrower = self.ledger.borrower(sender.id, message.session, now)
+        borrower = self.ledger.borrower_in_session(sender.id, message.session, now)
         if borrower is None:
             self._end_session(sender.id, message.session, message.sent)
             return
         if borrower.ask is not None and borrower.ask.sequence >= message.sequence:
             return
-        borrower.sent = max(borrower.sent, message.sent)
+        borrower.last_sent = max(borrower.last_sent, message.sent)
         borrower.note_ask(message, now - message.waited_ms / 1000)
         self.lend_and_recall()
 
     def apply_hold(self, sender: Member, message: Hold) -> None:
         """Renew a member's lease and free the slots that it no longer holds."""
-        borrower = self.ledger.borrower(sender.id, message.session, self.clock.monotonic())
+        borrower = self.ledger.borrower_in_session(sender.id, message.session, self.clock.monotonic())
         if borrower is None:
             self._end_session(sender.id, message.session, message.sent)
             return
-        if message.sent <= borrower.held_sent:
+        if message.sent <= borrower.last_hold_sent:
             return
-        borrower.held_sent = message.sent
-        borrower.sent = max(borrower.sent, message.sent)
-        self.ledger.settle(borrower, message)
+        borrower.last_hold_sent = message.sent
+        borrower.last_sent = max(borrower.last_sent, message.sent)
+        self.ledger.free_unheld(borrower, message)
         if self.may_use():
-            lost = [i for i in borrower.numbers_by_id if not self._may_lend(i)]
+            lost = [i for i in borrower.grant_numbers_by_id if not self._may_lend(i)]
             held = Held(
                 self.service,
                 borrower.session,
                 message.sent,
                 True,
-                borrower.number_before,
+                borrower.grant_number_at_hold,
                 masks_of(lost),
             )
-            borrower.number_before = borrower.number
+            borrower.grant_number_at_hold = borrower.grant_number
             self.send(sender.id, held)
         self.lend_and_recall()
 
@@ -160,7 +160,7 @@
             if reserved and self._local_comes_first(own, Claim(entry[0], entry[1])):
                 idle = idle[reserved:]
                 reserved = 0
-            while borrower.lacks > 0 and self._lend_one(borrower, idle):
+            while borrower.missing > 0 and self._lend_one(borrower, idle):
                 granted.setdefault(entry[2], []).append(self._last_lent)
         for member_id, slot_ids in granted.items():
             self._grant(member_id, slot_ids)
@@ -176,8 +176,8 @@
 
     def tick(self) -> None:
         """Free the slots of silent members, then lend and recall."""
-        self.ledger.lapse_s = max(self.ledger.lapse_s, self.lease_s + self.hold_s())
-        self.ledger.expire(self.clock.monotonic())
+        self.ledger.expiry_s = max(self.ledger.expiry_s, self.lease_s + self.hold_s())
+        self.ledger.expire_borrowers(self.clock.monotonic())
         self.lend_and_recall()
 
     def _may_lend(self, slot_id: SlotId) -> bool:
@@ -202,9 +202,9 @@
 
     def _grant(self, member_id: str, slot_ids: list[SlotId]) -> None:
         borrower = self.ledger.borrowers_by_id[member_id]
-        borrower.number += 1
+        borrower.grant_number += 1
         grant = Grant(
-            self.service, borrower.session, borrower.sent, borrower.number, masks_of(slot_ids)
+            self.service, borrower.session, borrower.last_sent, borrower.grant_number, masks_of(slot_ids)
         )
         borrower.grants.append(grant)
         metrics.slots_lent.add(len(slot_ids))
@@ -224,7 +224,7 @@
         self._last_recall_at = now
         urgency, since = claim if claim is not None and self.is_lending else Claim(-1, 0.0)
         for member_id, borrower in self.ledger.borrowers_by_id.items():
-            if borrower.numbers_by_id:
+            if borrower.grant_numbers_by_id:
                 waited_ms = int((now - since) * 1000)
                 self.send(member_id, Recall(self.service, borrower.session, urgency, waited_ms))
 
