--- a/mustardgap/brokers.py
+++ b/mustardgap/brokers.py
@@ -311,7 +311,9 @@
         self.slots.serve(holding.service)
         if not self.slots.waiting(holding.service):
             # Each owner is asked for all missing slots, so several may lend them at once.
-            self._return_slots(holding, [i for i in slot_ids_of(message.slots) if i in holding.idle()])
+            self._return_slots(
+                holding, [i for i in slot_ids_of(message.slots) if i in holding.idle()]
+            )
 
     def apply_held(self, sender: Member, message: Held) -> None:
         """Apply an owner's answer to a renewal."""
--- a/mustardgap/lenders.py
+++ b/mustardgap/lenders.py
@@ -113,7 +113,9 @@
 
     def apply_hold(self, sender: Member, message: Hold) -> None:
         """Renew a member's lease and free the slots that it no longer holds."""
-        borrower = self.ledger.borrower_in_session(sender.id, message.session, self.clock.monotonic())
+        borrower = self.ledger.borrower_in_session(
+            sender.id, message.session, self.clock.monotonic()
+        )
         if borrower is None:
             self._end_session(sender.id, message.session, message.sent)
             return
@@ -204,7 +206,11 @@
         borrower = self.ledger.borrowers_by_id[member_id]
         borrower.grant_number += 1
         grant = Grant(
-            self.service, borrower.session, borrower.last_sent, borrower.grant_number, masks_of(slot_ids)
+            self.service,
+            borrower.session,
+            borrower.last_sent,
+            borrower.grant_number,
+            masks_of(slot_ids),
         )
         borrower.grants.append(grant)
         metrics.slots_lent.add(len(slot_ids))
