--- a/mustardgap/answers.py
+++ b/mustardgap/answers.py
@@ -29,14 +29,14 @@
         """Send a piece on and wait until the caller has taken it."""
 
 
-class Patience(NamedTuple):
+class EarlyTimeout(NamedTuple):
     """Seconds to wait for the first sign of an answer, and whether to give up then."""
 
     seconds: float
     may_give_up: Callable[[], bool]
 
 
-class Answer(httputil.HTTPMessageDelegate):
+class AnswerReader(httputil.HTTPMessageDelegate):
     """Takes one answer in, holding it until it is whole or too large to be held."""
 
     def __init__(
@@ -44,22 +44,22 @@
         *,
         stream: iostream.IOStream,
         try_id: str,
-        head: bool,
-        held_bytes: int,
+        is_head_request: bool,
+        max_buffered_bytes: int,
         sink: Sink | None,
     ) -> None:
         self.result: TryResult | None = None
         self._stream = stream
         self._try_id = try_id
-        self._head = head
-        self._held_bytes = held_bytes
+        self._is_head_request = is_head_request
+        self._max_buffered_bytes = max_buffered_bytes
         self._sink = sink
         self._status = 0
         self._headers: list[tuple[str, str]] = []
         self._leaving = False
         self._pieces: list[bytes] = []
         self._size = 0
-        self._begun = False
+        self._is_relaying = False
 
     def headers_received(
         self,
@@ -74,14 +74,14 @@
         self._headers = header_rules.returned(headers)
         self._leaving = headers.get("X-Leaving") == "1"
         if headers.get_list("X-Request-Id") != [self._try_id]:
-            self._end(Mismatch(detail=f"status {start_line.code}"))
+            self._end_with(Mismatch(detail=f"status {start_line.code}"))
         elif start_line.code == 503 and headers.get("X-Not-Run") == "1":
-            self._end(Refused(detail="refused by the executor", leaving=self._leaving))
+            self._end_with(Refused(detail="refused by the executor", leaving=self._leaving))
         elif not self._is_framed(headers):
-            self._end(Truncated(detail="it can't be seen where the answer ends"))
+            self._end_with(Truncated(detail="it can't be seen where the answer ends"))
 
     def _is_framed(self, headers: httputil.HTTPHeaders) -> bool:
-        if self._head or self._status in (204, 304):
+        if self._is_head_request or self._status in (204, 304):
             return True
         framing = headers.get_list("Content-Length") + headers.get_list("Transfer-Encoding")
         return len(framing) == 1
@@ -91,29 +91,29 @@
         if self.result is not None:
             return
         self._size += len(chunk)
-        if not self._begun and (self._sink is None or self._size <= self._held_bytes):
+        if not self._is_relaying and (self._sink is None or self._size <= self._max_buffered_bytes):
             self._pieces.append(chunk)
             return
-        await self._pass_on(chunk)
+        await self._relay(chunk)
 
-    async def _pass_on(self, chunk: bytes) -> None:
+    async def _relay(self, chunk: bytes) -> None:
         assert self._sink is not None
         try:
-            if not self._begun:
-                self._begun = True
+            if not self._is_relaying:
+                self._is_relaying = True
                 await self._sink.start(self._status, self._headers)
-                held, self._pieces = self._pieces, []
-                for piece in held:
+                buffered, self._pieces = self._pieces, []
+                for piece in buffered:
                     await self._sink.write(piece)
             await self._sink.write(chunk)
         except iostream.StreamClosedError:
-            self._end(CallerGone(leaving=self._leaving))
+            self._end_with(CallerGone(leaving=self._leaving))
 
     def finish(self) -> None:
         """The answer is whole."""
         if self.result is not None:
             return
-        if self._begun:
+        if self._is_relaying:
             self.result = Relayed(status=self._status, size=self._size, leaving=self._leaving)
         else:
             self.result = Complete(
@@ -125,27 +125,27 @@
 
     def on_connection_close(self) -> None:
         """The answer broke off or is malformed."""
-        self.broken("the answer broke off")
+        self.connection_lost("the answer broke off")
 
-    def broken(self, detail: str) -> None:
+    def connection_lost(self, detail: str) -> None:
         """Note that the connection ended early."""
         if self.result is not None:
             return
         if self._status:
-            self.result = Truncated(detail=detail, begun=self._begun)
+            self.result = Truncated(detail=detail, begun=self._is_relaying)
         else:
             self.result = Reset(detail=detail)
 
     def time_out(self) -> None:
         """Give up at the deadline."""
         if self.result is None:
-            self._end(TimedOut(begun=self._begun))
+            self._end_with(TimedOut(begun=self._is_relaying))
 
-    def lose_patience(self, patience: Patience) -> None:
+    def time_out_early(self, early_timeout: EarlyTimeout) -> None:
         """Give up early when nothing has come back and another executor may be asked."""
-        if self.result is None and not self._status and patience.may_give_up():
-            self._end(TimedOut(early=True))
+        if self.result is None and not self._status and early_timeout.may_give_up():
+            self._end_with(TimedOut(early=True))
 
-    def _end(self, result: TryResult) -> None:
+    def _end_with(self, result: TryResult) -> None:
         self.result = result
         self._stream.close()
--- a/mustardgap/callers.py
+++ b/mustardgap/callers.py
@@ -24,21 +24,21 @@
 from .timelines import Timeline
 from .timers import Clock
 
-PORT = {"port": "callers"}
+METRIC_LABELS = {"port": "callers"}
 # Connections over the limit still get a true refusal, up to this share of the limit.
-SPARE_CONNECTIONS = 0.1
+SPARE_CONNECTIONS_FRACTION = 0.1
 # What tornado writes when it can't parse a message.
 BARE_400 = b"HTTP/1.1 400 Bad Request\r\n\r\n"
 NO_LIMIT = 1 << 62
 # Time for the last answers to go out before the connections close.
-CUT_OFF_S = 1.0
-UNREAD_CHECK_S = 0.01
+CUT_OFF_TIMEOUT_S = 1.0
+UNREAD_POLL_INTERVAL_S = 0.01
 
 
 class _CallerStream(iostream.IOStream):
     """A caller's connection; ``latest`` is the exchange that it carries."""
 
-    latest: Exchange | None = None
+    latest_exchange: Exchange | None = None
 
     def write(self, data: bytes | memoryview) -> "asyncio.Future[None]":
         """Write, with an answer of our own in place of tornado's for what it can't parse.
@@ -46,9 +46,13 @@
         Tornado's is a bare status line and comes before a delegate sees the request. The caller
         would get an answer without a result code, or a second one after our refusal.
         """
-        if data == BARE_400 and self.latest is not None:
-            metrics.malformed_requests.add(1, PORT)
-            data = b"" if self.latest.answered else _malformed_answer(self.latest.request_id)
+        if data == BARE_400 and self.latest_exchange is not None:
+            metrics.malformed_requests.add(1, METRIC_LABELS)
+            data = (
+                b""
+                if self.latest_exchange.answered
+                else _malformed_answer(self.latest_exchange.request_id)
+            )
         return super().write(data)
 
 
@@ -81,7 +85,7 @@
         self.refusing = False
         self.held_bytes = 0
         self._exchanges: set[Exchange] = set()
-        self._ended = asyncio.Event()
+        self._exchange_ended = asyncio.Event()
         self._connections: set[HTTP1ServerConnection] = set()
         self._sockets: list[socket.socket] = []
         self._stop_accepting: list[Callable[[], None]] = []
@@ -128,7 +132,7 @@
         deadline = self.clock.monotonic() + stop_s
         await self.clock.sleep(min(self.settings.callers.linger_s, stop_s / 2))
         self.refusing = True
-        await self._wait_until_quiet(deadline)
+        await self._wait_until_idle(deadline)
         await self.cut_off()
         self.timeline.add("callers.closed")
 
@@ -137,7 +141,7 @@
         self.draining = self.refusing = True
         for exchange in list(self._exchanges):
             exchange.cut_off()
-        await self._wait_until_quiet(self.clock.monotonic() + CUT_OFF_S)
+        await self._wait_until_idle(self.clock.monotonic() + CUT_OFF_TIMEOUT_S)
         self.close()
 
     def close(self) -> None:
@@ -158,27 +162,27 @@
             return None
         return NotRun(code=status_codes.NOT_CURRENT, detail=self.readiness.reason)
 
-    def begin(self, exchange: Exchange) -> None:
+    def register(self, exchange: Exchange) -> None:
         """Note an exchange that has begun."""
         self._exchanges.add(exchange)
 
-    def end(self, exchange: Exchange) -> None:
+    def unregister(self, exchange: Exchange) -> None:
         """Forget an exchange that has ended."""
         self._exchanges.discard(exchange)
-        self._ended.set()
+        self._exchange_ended.set()
 
     def start_request(self, server_conn: object, request_conn: httputil.HTTPConnection) -> Exchange:
         """Make the delegate for the next request of a connection."""
         connection = cast(HTTP1ServerConnection, server_conn)
         exchange = Exchange(
-            host=self,
+            server=self,
             connection=cast(HTTP1Connection, request_conn),
             over_limit=len(self._connections) > self.settings.callers.max_connections,
         )
         stream = cast(_CallerStream, connection.stream)
-        if stream.latest is not None:
+        if stream.latest_exchange is not None:
             connection.params.header_timeout = self.settings.callers.idle_timeout_s
-        stream.latest = exchange
+        stream.latest_exchange = exchange
         return exchange
 
     def on_close(self, server_conn: object) -> None:
@@ -188,8 +192,8 @@
 
     def _accept(self, sock: socket.socket, address: Any) -> None:
         callers = self.settings.callers
-        if len(self._connections) >= callers.max_connections * (1 + SPARE_CONNECTIONS):
-            metrics.refused_connections.add(1, PORT)
+        if len(self._connections) >= callers.max_connections * (1 + SPARE_CONNECTIONS_FRACTION):
+            metrics.refused_connections.add(1, METRIC_LABELS)
             sock.close()
             return
         stream = _CallerStream(sock)
@@ -206,7 +210,7 @@
         metrics.callers_connections.add(1)
         connection.start_serving(self)
 
-    async def _wait_until_quiet(self, deadline: float) -> None:
+    async def _wait_until_idle(self, deadline: float) -> None:
         """Wait until no request is under way, nor has one come that wasn't read yet.
 
         Closed with bytes unread, a connection is reset: the caller that has just sent a request
@@ -214,22 +218,22 @@
         """
         while self.clock.monotonic() < deadline:
             if self._exchanges:
-                self._ended.clear()
-                await self._wait_ended(deadline - self.clock.monotonic())
-            elif self._has_unread():
-                await self.clock.sleep(UNREAD_CHECK_S)
+                self._exchange_ended.clear()
+                await self._wait_for_exchange_end(deadline - self.clock.monotonic())
+            elif self._has_unread_input():
+                await self.clock.sleep(UNREAD_POLL_INTERVAL_S)
             else:
                 return
 
-    def _has_unread(self) -> bool:
-        if any(map(_is_readable, self._sockets)):
+    def _has_unread_input(self) -> bool:
+        if any(map(_has_pending_connection, self._sockets)):
             return True
-        return any(_has_bytes(connection.stream) for connection in self._connections)
+        return any(_has_unread_bytes(connection.stream) for connection in self._connections)
 
-    async def _wait_ended(self, timeout_s: float) -> None:
+    async def _wait_for_exchange_end(self, timeout_s: float) -> None:
         try:
             async with asyncio.timeout(timeout_s):
-                await self._ended.wait()
+                await self._exchange_ended.wait()
         except TimeoutError:
             pass
 
@@ -242,14 +246,14 @@
         self._sockets.clear()
 
 
-def _is_readable(sock: socket.socket) -> bool:
+def _has_pending_connection(sock: socket.socket) -> bool:
     """Whether a listening socket has a connection that wasn't accepted yet."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(0))
 
 
-def _has_bytes(stream: iostream.IOStream) -> bool:
+def _has_unread_bytes(stream: iostream.IOStream) -> bool:
     """Whether something has come on a connection that wasn't read yet."""
     if stream.closed():
         return False
--- a/mustardgap/exchanges.py
+++ b/mustardgap/exchanges.py
@@ -22,13 +22,13 @@
 from .upstreams import Request
 
 READY_PATH = "/-/ready"
-OWN_PATHS = "/-/"
-MAX_REQUEST_ID = 128
+BUILTIN_PATH_PREFIX = "/-/"
+MAX_REQUEST_ID_LENGTH = 128
 MAX_LENGTH_DIGITS = 18
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class Host(Protocol):
+class Server(Protocol):
     """The server that an exchange belongs to."""
 
     settings: Settings
@@ -43,10 +43,10 @@
     def refusal(self) -> NotRun | None:
         """Why requests are refused now, None when they aren't."""
 
-    def begin(self, exchange: "Exchange") -> None:
+    def register(self, exchange: "Exchange") -> None:
         """Note an exchange that has begun."""
 
-    def end(self, exchange: "Exchange") -> None:
+    def unregister(self, exchange: "Exchange") -> None:
         """Forget an exchange that has ended."""
 
 
@@ -58,14 +58,14 @@
     :param over_limit: whether the connection is one too many.
     """
 
-    def __init__(self, *, host: Host, connection: HTTP1Connection, over_limit: bool) -> None:
-        self.host = host
+    def __init__(self, *, server: Server, connection: HTTP1Connection, over_limit: bool) -> None:
+        self.server = server
         self.request_id = uuid.uuid4().hex
         self.answered = False
-        self._is_cut = False
+        self._is_cut_off = False
         self._connection = connection
         self._over_limit = over_limit
-        self._line = httputil.RequestStartLine("", "", "")
+        self._start_line = httputil.RequestStartLine("", "", "")
         self._headers = httputil.HTTPHeaders()
         self._body: list[bytes] = []
         self._size = 0
@@ -79,11 +79,11 @@
         headers: httputil.HTTPHeaders,
     ) -> None:
         """Check the head; what is refused here is answered before its body is read."""
-        self.host.begin(self)
-        self._line = cast(httputil.RequestStartLine, start_line)
+        self.server.register(self)
+        self._start_line = cast(httputil.RequestStartLine, start_line)
         self._headers = headers
         ids = headers.get_list("X-Request-Id")
-        if len(ids) == 1 and 0 < len(ids[0]) <= MAX_REQUEST_ID and ids[0].isascii():
+        if len(ids) == 1 and 0 < len(ids[0]) <= MAX_REQUEST_ID_LENGTH and ids[0].isascii():
             self.request_id = ids[0]
         refusal = self._check_head()
         if refusal is not None:
@@ -91,14 +91,14 @@
 
     def _check_head(self) -> NotRun | None:
         try:
-            return self._check()
+            return self._head_refusal()
         except Exception as exc:
             # Tornado would close the connection without an answer.
-            self._note_end(exc)
+            self._record_failure(exc)
             return NotRun(code=status_codes.GIVEN_UP_BEFORE_RUN)
 
-    def _check(self) -> NotRun | None:
-        detail = _malformed(self._line, self._headers)
+    def _head_refusal(self) -> NotRun | None:
+        detail = _malformation(self._start_line, self._headers)
         if detail:
             metrics.malformed_requests.add(1, {"port": "callers"})
             return NotRun(code=status_codes.BAD_REQUEST, detail=detail)
@@ -109,12 +109,12 @@
         if self._over_limit:
             detail = "too many connections"
             return NotRun(code=status_codes.OVER_BUDGET, detail=detail, retry_after=2.0)
-        if self._line.path.startswith(OWN_PATHS):
+        if self._start_line.path.startswith(BUILTIN_PATH_PREFIX):
             return None
-        return self.host.refusal()
+        return self.server.refusal()
 
     def _max_body_bytes(self) -> int:
-        return self.host.settings.callers.max_body_bytes
+        return self.server.settings.callers.max_body_bytes
 
     def _too_large(self) -> NotRun:
         detail = f"the body is larger than {self._max_body_bytes()} bytes"
@@ -125,7 +125,7 @@
         # request has been read, or at the time-out: closed with bytes unread, it would be reset,
         # and the reset could overtake the answer.
         self._drop_body()
-        timeout_s = self.host.settings.callers.header_timeout_s
+        timeout_s = self.server.settings.callers.header_timeout_s
         self._timer = asyncio.get_running_loop().call_later(timeout_s, self._connection.close)
         self._write(problems.answer(refusal, request_id=self.request_id), close=True)
         if self._headers.get("Expect") == "100-continue":
@@ -137,10 +137,10 @@
             return
         self._body.append(chunk)
         self._size += len(chunk)
-        self.host.held_bytes += len(chunk)
+        self.server.held_bytes += len(chunk)
         if self._size > self._max_body_bytes():
             self._refuse(self._too_large())
-        elif self.host.held_bytes > self.host.settings.callers.max_held_bytes:
+        elif self.server.held_bytes > self.server.settings.callers.max_held_bytes:
             detail = "the requests being received are too large together"
             self._refuse(NotRun(code=status_codes.OVER_BUDGET, detail=detail, retry_after=2.0))
 
@@ -149,18 +149,18 @@
         if self.answered:
             self._connection.finish()
             self._connection.close()
-            self._end()
+            self._release()
             return
         self._task = asyncio.create_task(self._run(), name=f"request:{self.request_id}")
-        self._task.add_done_callback(lambda _: self._end())
+        self._task.add_done_callback(lambda _: self._release())
 
     def on_connection_close(self) -> None:
         """The caller went before its request was whole."""
-        self._end()
+        self._release()
 
     def cut_off(self) -> None:
         """End the handling, because this host closes its connections; what is owed is answered."""
-        self._is_cut = True
+        self._is_cut_off = True
         if self._task is not None:
             # Later than the task's first step: cancelled before it, the task would run no line of
             # its code, and so give no answer.
@@ -168,31 +168,31 @@
         elif not self.answered:
             self._refuse(NotRun(code=status_codes.DRAINING))
 
-    def _end(self) -> None:
+    def _release(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._drop_body()
-        self.host.end(self)
+        self.server.unregister(self)
 
     def _drop_body(self) -> None:
         self._body.clear()
-        self.host.held_bytes -= self._size
+        self.server.held_bytes -= self._size
         self._size = 0
 
     async def _run(self) -> None:
-        self._connection.set_close_callback(self._hang_up)
+        self._connection.set_close_callback(self._on_caller_gone)
         try:
             await self._reply()
         except (Exception, asyncio.CancelledError) as exc:
-            await self._make_up_for(exc)
+            await self._answer_failure(exc)
 
     async def _reply(self) -> None:
-        if self._line.path.startswith(OWN_PATHS):
-            await self._send(self._own_answer())
+        if self._start_line.path.startswith(BUILTIN_PATH_PREFIX):
+            await self._send_answer(self._builtin_answer())
         else:
-            await self._answer(await self._handle())
+            await self._send_outcome(await self._handle())
 
-    async def _make_up_for(self, exc: BaseException) -> None:
+    async def _answer_failure(self, exc: BaseException) -> None:
         """Give the answer that is still owed when the handling has ended without one.
 
         The cancellation of something that is only waited for, such as a call on a channel that was
@@ -205,22 +205,27 @@
                 logging.error("request %s failed", self.request_id, exc_info=exc)
             self._connection.close()
             return
-        self._note_end(exc)
+        self._record_failure(exc)
         if self.answered:
             self._reset()
             return
-        code = status_codes.DRAINING if self._is_cut else status_codes.GIVEN_UP_BEFORE_RUN
-        outcome = self._given_up(code)
-        await self._send(problems.answer(outcome, request_id=self.request_id))
-
-    def _note_end(self, exc: BaseException) -> None:
-        end = unanswered.end_of(exc, stopping=self._is_cut)
-        self.host.timeline.add(
-            "request.unanswered", cause=end.cause, request=self.request_id, how=end.how.value
+        code = status_codes.DRAINING if self._is_cut_off else status_codes.GIVEN_UP_BEFORE_RUN
+        outcome = self._failure_outcome(code)
+        await self._send_answer(problems.answer(outcome, request_id=self.request_id))
+
+    def _record_failure(self, exc: BaseException) -> None:
+        failure = unanswered.record_failure(exc, stopping=self._is_cut_off)
+        self.server.timeline.add(
+            "request.unanswered",
+            cause=failure.cause,
+            request=self.request_id,
+            how=failure.how.value,
+        )
+        logging.error(
+            "no outcome of request %s (%s)", self.request_id, failure.how.value, exc_info=exc
         )
-        logging.error("no outcome of request %s (%s)", self.request_id, end.how.value, exc_info=exc)
 
-    def _given_up(self, refusal: Code) -> NotRun | Unknown:
+    def _failure_outcome(self, refusal: Code) -> NotRun | Unknown:
         if self._session is None:
             return NotRun(code=refusal)
         return self._session.give_up(refusal)
@@ -228,47 +233,47 @@
     async def _handle(self) -> Outcome:
         request = Request(
             request_id=self.request_id,
-            method=self._line.method,
-            target=_origin_form(self._line.path),
+            method=self._start_line.method,
+            target=_origin_form(self._start_line.path),
             headers=self._headers,
             body=b"".join(self._body),
         )
         self._body.clear()
-        self._session = self.host.sessions.open(request, self)
+        self._session = self.server.sessions.open(request, self)
         return await self._session.run()
 
-    def _hang_up(self) -> None:
+    def _on_caller_gone(self) -> None:
         if self._session is not None:
             self._session.hang_up()
 
-    def _own_answer(self) -> Answer:
+    def _builtin_answer(self) -> Answer:
         headers = [("Content-Type", "text/plain")]
-        if self._line.path != READY_PATH:
+        if self._start_line.path != READY_PATH:
             return Answer(404, headers, b"no such page\n")
-        if self.host.is_ready():
+        if self.server.is_ready():
             return Answer(200, headers, b"ready\n")
         return Answer(503, headers, b"not ready\n")
 
-    async def _answer(self, outcome: Outcome) -> None:
+    async def _send_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Streamed):
-            self._finish()
+            self._finish_answer()
         elif isinstance(outcome, BrokenOff):
             self._reset()
         else:
-            await self._send(problems.answer(outcome, request_id=self.request_id))
+            await self._send_answer(problems.answer(outcome, request_id=self.request_id))
 
-    async def _send(self, answer: Answer) -> None:
+    async def _send_answer(self, answer: Answer) -> None:
         try:
             # A caller that takes no more of its answer would keep its connection and what it holds.
-            async with asyncio.timeout(self.host.settings.callers.idle_timeout_s):
-                await self._write(answer, close=self.host.draining)
+            async with asyncio.timeout(self.server.settings.callers.idle_timeout_s):
+                await self._write(answer, close=self.server.draining)
         except (iostream.StreamClosedError, TimeoutError):
             self._connection.close()
             return
-        self._finish()
+        self._finish_answer()
 
-    def _finish(self) -> None:
-        closing = self._closing
+    def _finish_answer(self) -> None:
+        closing = self._closes_after_answer
         self._connection.finish()
         if closing:
             self._connection.close()
@@ -278,13 +283,13 @@
         names = {name.lower() for name, _ in headers}
         if "content-length" not in names and answer.status not in (204, 304):
             headers.append(("Content-Length", str(len(answer.body))))
-        body = None if self._line.method == "HEAD" else answer.body or None
+        body = None if self._start_line.method == "HEAD" else answer.body or None
         return self._write_head(answer.status, headers, body, close=close)
 
     def _write_head(
         self, status: int, pairs: list[tuple[str, str]], body: bytes | None, *, close: bool
     ) -> "asyncio.Future[None]":
-        self._closing = close
+        self._closes_after_answer = close
         headers = httputil.HTTPHeaders()
         for name, value in pairs:
             headers.add(name, value)
@@ -302,7 +307,7 @@
             ("X-Request-Id", self.request_id),
             ("X-Result-Code", str(status_codes.ANSWERED.number)),
         ]
-        await self._write_head(status, headers + own, None, close=self.host.draining)
+        await self._write_head(status, headers + own, None, close=self.server.draining)
 
     async def write(self, chunk: bytes) -> None:
         """Pass on a piece and wait until the caller has taken it."""
@@ -319,7 +324,7 @@
         self._connection.close()
 
 
-def _malformed(line: httputil.RequestStartLine, headers: httputil.HTTPHeaders) -> str:
+def _malformation(line: httputil.RequestStartLine, headers: httputil.HTTPHeaders) -> str:
     """What is wrong with a request's head, "" for nothing.
 
     Two readings of where a request ends let one request be taken for two on the way (smuggling),
--- a/mustardgap/open_requests.py
+++ b/mustardgap/open_requests.py
@@ -9,7 +9,7 @@
 
 from . import unanswered
 from .events import EventLog
-from .unanswered import Ending
+from .unanswered import FailureKind
 
 AnswerT = TypeVar("AnswerT")
 
@@ -26,15 +26,15 @@
     path: str
     job: str | None
     handle: Callable[[], Coroutine[Any, Any, AnswerT]]
-    fallback: Callable[[Ending], AnswerT]
+    fallback: Callable[[FailureKind], AnswerT]
     send: Callable[[AnswerT], None]
 
 
-class _Waiting(NamedTuple):
+class _PendingRequest(NamedTuple):
     """A request without an answer, and the steady time since when it waits."""
 
     request: OpenRequest[Any]
-    began: float
+    began_at: float
 
 
 class OpenRequests:
@@ -45,63 +45,63 @@
 
     def __init__(self, *, events: EventLog) -> None:
         self._events = events
-        self._waiting_by_task: dict[asyncio.Task[Any], _Waiting] = {}
+        self._pending_by_task: dict[asyncio.Task[Any], _PendingRequest] = {}
 
-    def begin(self, request: OpenRequest[AnswerT]) -> None:
+    def start_handling(self, request: OpenRequest[AnswerT]) -> None:
         """Handle a request in a task of its own, and answer it when that has ended."""
         task = asyncio.create_task(request.handle(), name=f"request:{request.path}")
-        self._waiting_by_task[task] = _Waiting(request, self._events.clock.monotonic())
+        self._pending_by_task[task] = _PendingRequest(request, self._events.clock.monotonic())
         # Whatever the handling waits for may fail, or be cancelled by others who share it: a
         # connection that is closed, a shard that is given up. If the task itself owed the answer,
         # its caller would see a silent connection until one side ended it. A callback runs however
         # a task ends, even one that is cancelled before its first step.
-        task.add_done_callback(self._answer)
+        task.add_done_callback(self._on_handled)
 
-    async def settle(self, *, timeout_s: float) -> None:
+    async def drain(self, *, timeout_s: float) -> None:
         """Wait until all requests are answered; those that aren't in time get their fallback.
 
         :param timeout_s: seconds to wait for their handling.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
-                while self._waiting_by_task:
-                    await asyncio.wait(list(self._waiting_by_task))
-        for task in list(self._waiting_by_task):
+                while self._pending_by_task:
+                    await asyncio.wait(list(self._pending_by_task))
+        for task in list(self._pending_by_task):
             # Answered first: a handling that is cancelled may take its time to end.
-            self._give_fallback(task, asyncio.CancelledError(), stopping=True)
+            self._send_fallback(task, asyncio.CancelledError(), stopping=True)
             task.cancel()
 
-    def _answer(self, task: "asyncio.Task[Any]") -> None:
-        if task not in self._waiting_by_task:
+    def _on_handled(self, task: "asyncio.Task[Any]") -> None:
+        if task not in self._pending_by_task:
             return
         try:
             answer = task.result()
         except (Exception, asyncio.CancelledError) as exc:
-            self._give_fallback(task, exc)
+            self._send_fallback(task, exc)
         else:
-            self._waiting_by_task.pop(task).request.send(answer)
+            self._pending_by_task.pop(task).request.send(answer)
 
-    def _give_fallback(
+    def _send_fallback(
         self, task: "asyncio.Task[Any]", exc: BaseException, *, stopping: bool = False
     ) -> None:
-        request, began = self._waiting_by_task.pop(task)
+        request, began_at = self._pending_by_task.pop(task)
         # The answer first: a line that can't be written costs the caller nothing.
-        request.send(request.fallback(unanswered.ending_of(exc, stopping=stopping)))
-        end = unanswered.end_of(exc, stopping=stopping)
+        request.send(request.fallback(unanswered.failure_kind(exc, stopping=stopping)))
+        failure = unanswered.record_failure(exc, stopping=stopping)
         self._events.note(
             "request.unanswered",
             vital=True,
             method=request.method,
             path=request.path,
             job=request.job,
-            how=end.how.value,
-            why=end.cause,
-            at=_innermost(exc),
-            after_s=self._events.clock.monotonic() - began,
+            how=failure.how.value,
+            why=failure.cause,
+            at=_raise_location(exc),
+            after_s=self._events.clock.monotonic() - began_at,
         )
 
 
-def _innermost(exc: BaseException) -> str:
+def _raise_location(exc: BaseException) -> str:
     """Where an exception was raised, as ``file:line in function``."""
     frames = traceback.extract_tb(exc.__traceback__)
     if not frames:
--- a/mustardgap/operator_handlers.py
+++ b/mustardgap/operator_handlers.py
@@ -138,7 +138,7 @@
         :param exc: what ended it; None if this handler's own task was cancelled, as by a stop.
         """
         is_cut = exc is None
-        end = unanswered.end_of(exc or asyncio.CancelledError(), stopping=is_cut)
+        end = unanswered.record_failure(exc or asyncio.CancelledError(), stopping=is_cut)
         place = self.request.path
         self.operators.timeline.add(
             "request.unanswered", cause=end.cause, how=end.how.value, path=place
--- a/mustardgap/peer_calls.py
+++ b/mustardgap/peer_calls.py
@@ -98,7 +98,7 @@
             if isinstance(exc, asyncio.CancelledError) and cancellations.is_own():
                 # The caller has given the call up, or this daemon ends.
                 raise
-            how = unanswered.ending_of(exc).value
+            how = unanswered.failure_kind(exc).value
             self._events.note("call.unanswered", vital=True, call=name, how=how, why=repr(exc))
         # A cancelled handler would leave the call silent until its time is over, and its caller
         # would take this daemon for one that is gone.
--- a/mustardgap/platform/front.py
+++ b/mustardgap/platform/front.py
@@ -17,7 +17,7 @@
 from ..job_gateways import JobGateway
 from ..job_replies import JobReply
 from ..open_requests import OpenRequest, OpenRequests
-from ..unanswered import Ending
+from ..unanswered import FailureKind
 from ..workloads import Queue
 from .decoding import InvalidBody, job
 
@@ -106,7 +106,7 @@
             # the process ends; on a closed one it isn't read, and goes to another daemon. The other
             # connections end with their answers, so nothing new is read from now on.
             await server.close_idle()
-        await self._open.settle(timeout_s=timeout_s)
+        await self._open.drain(timeout_s=timeout_s)
         for server in self._servers:
             await server.close_all_connections()
 
@@ -155,7 +155,7 @@
 
     def _begin(self, request: httputil.HTTPServerRequest, answer: Handler) -> None:
         name = request.path.rpartition("/")[2]
-        self._open.begin(
+        self._open.start_handling(
             OpenRequest(
                 method=request.method or "",
                 path=request.path,
@@ -202,7 +202,7 @@
     return cast(HTTP1Connection, request.connection).stream
 
 
-def _fallback(request: httputil.HTTPServerRequest, ending: Ending) -> Answer:
+def _fallback(request: httputil.HTTPServerRequest, ending: FailureKind) -> Answer:
     """What is true of a request whose handling ended without an answer."""
     detail = f"its handling {ending.value}"
     return _encoded(job_replies.unanswered(detail, is_change=request.method in CHANGES))
--- a/mustardgap/reasons.py
+++ b/mustardgap/reasons.py
@@ -46,7 +46,7 @@
     ]
     group = fleet.groups_by_pool.get(host["pool"])
     if host["phase"] == "in_service" and group is not None:
-        lines.append(_what_if_it_left(group, host))
+        lines.append(_margin_without_host(group, host))
     elif (
         host["phase"] in ("draining", "drained")
         and not host["wave"]
@@ -62,9 +62,9 @@
     if group is None:
         return []
     size = group.requirement.pools[name]
-    whose = f"service {group.requirement.service}" if group.requirement.service else "jobs"
+    consumer = f"service {group.requirement.service}" if group.requirement.service else "jobs"
     lines = [
-        f"pool {name} serves {whose}: {group.size_by_pool[name]} hosts in service, "
+        f"pool {name} serves {consumer}: {group.size_by_pool[name]} hosts in service, "
         f"{size.min_hosts} at least and {size.max_hosts} at most"
     ]
     return lines + _explain_group(group) + _next_steps(state, now, {name})
@@ -86,10 +86,10 @@
         lines.append(f"spread over {len(sizes)} domains: {shown}")
     if group.out_ids:
         lines.append(f"out for maintenance: {', '.join(sorted(group.out_ids))}")
-    return [*lines, _what_would_change(group)]
+    return [*lines, _margin_advice(group)]
 
 
-def _what_would_change(group: Group) -> str:
+def _margin_advice(group: Group) -> str:
     name = group.requirement.name
     if group.margin < 0:
         return f"{-group.margin} more hosts, in other domains, would give {name} its margin back"
@@ -98,7 +98,7 @@
     return f"no host can leave {name} unless another one comes first"
 
 
-def _what_if_it_left(group: Group, host: HostState) -> str:
+def _margin_without_host(group: Group, host: HostState) -> str:
     name = group.requirement.name
     left = group.margin_without(host)
     verdict = "so it may be emptied" if group.can_lose(host) else "so another one must come first"
--- a/mustardgap/sessions.py
+++ b/mustardgap/sessions.py
@@ -5,7 +5,7 @@
 from typing import Any, Protocol
 
 from . import judgements, metrics, status_codes
-from .answers import Patience, Sink
+from .answers import EarlyTimeout, Sink
 from .exceptions import SlotRefused
 from .executors import Executors, ExecutorView
 from .judgements import RetryCost
@@ -276,11 +276,11 @@
             self.parts.executors.mark_leaving(executor.executor)
         return result
 
-    def _patience(self) -> Patience | None:
+    def _patience(self) -> EarlyTimeout | None:
         if not self._idempotent or self.tries + 1 >= self.parts.settings.requests.max_tries:
             return None
         seconds = self.parts.settings.requests.silent_timeout_s
-        return Patience(seconds, lambda: self.parts.budget.spend(self.service))
+        return EarlyTimeout(seconds, lambda: self.parts.budget.spend(self.service))
 
     def _note_sent(self) -> None:
         self._sent = True
--- a/mustardgap/unanswered.py
+++ b/mustardgap/unanswered.py
@@ -7,7 +7,7 @@
 from . import metrics
 
 
-class Ending(enum.Enum):
+class FailureKind(enum.Enum):
     """How a handling ended that gave no answer."""
 
     FAILED = "failed"
@@ -16,26 +16,26 @@
     CUT = "cut"
 
 
-class End(NamedTuple):
+class Failure(NamedTuple):
     """What ended the handling of a request; ``cause`` is the error."""
 
-    how: Ending
+    how: FailureKind
     cause: str
 
 
-def ending_of(exc: BaseException, *, stopping: bool = False) -> Ending:
+def failure_kind(exc: BaseException, *, stopping: bool = False) -> FailureKind:
     """How the handling of a request ended.
 
     :param exc: the exception that the handling ended with.
     :param stopping: whether this daemon ended it, because it stops.
     """
     if stopping:
-        return Ending.CUT
-    return Ending.CANCELLED if isinstance(exc, asyncio.CancelledError) else Ending.FAILED
+        return FailureKind.CUT
+    return FailureKind.CANCELLED if isinstance(exc, asyncio.CancelledError) else FailureKind.FAILED
 
 
-def end_of(exc: BaseException, *, stopping: bool = False) -> End:
+def record_failure(exc: BaseException, *, stopping: bool = False) -> Failure:
     """What ended the handling of a request, counted; see ``ending_of``."""
-    how = ending_of(exc, stopping=stopping)
+    how = failure_kind(exc, stopping=stopping)
     metrics.unanswered_requests.add(1, {"how": how.value})
-    return End(how, "this entry host has stopped" if stopping else repr(exc))
+    return Failure(how, "this entry host has stopped" if stopping else repr(exc))
--- a/mustardgap/upstreams.py
+++ b/mustardgap/upstreams.py
@@ -11,7 +11,7 @@
 from tornado.tcpclient import TCPClient
 
 from . import headers as header_rules
-from .answers import Answer, Patience, Sink
+from .answers import AnswerReader, EarlyTimeout, Sink
 from .resolvers import NumericResolver
 from .settings import Settings
 from .timers import Clock
@@ -75,7 +75,7 @@
         deadline: float,
         sink: Sink | None = None,
         on_sent: Callable[[], None] | None = None,
-        patience: Patience | None = None,
+        patience: EarlyTimeout | None = None,
     ) -> TryResult:
         """Send a request and read its answer.
 
@@ -125,7 +125,7 @@
         deadline: float,
         sink: Sink | None,
         on_sent: Callable[[], None] | None,
-        patience: Patience | None,
+        patience: EarlyTimeout | None,
     ) -> TryResult:
         # A process that was frozen while it connected finds its deadline passed here, and no
         # step between this check and the first byte gives up control.
@@ -138,17 +138,17 @@
             on_sent()
         try_id = uuid.uuid4().hex
         connection = HTTP1Connection(stream, True, self._parameters)
-        answer = Answer(
+        answer = AnswerReader(
             stream=stream,
             try_id=try_id,
-            head=request.method == "HEAD",
-            held_bytes=self.settings.callers.buffered_answer_bytes,
+            is_head_request=request.method == "HEAD",
+            max_buffered_bytes=self.settings.callers.buffered_answer_bytes,
             sink=sink,
         )
         loop = asyncio.get_running_loop()
         timers = [loop.call_later(left, answer.time_out)]
         if patience is not None:
-            timers.append(loop.call_later(patience.seconds, answer.lose_patience, patience))
+            timers.append(loop.call_later(patience.seconds, answer.time_out_early, patience))
         try:
             # Closing the stream ends a wait for the executor, but not one for a caller that takes
             # no more of its answer; that one is ended by the time-out.
@@ -156,9 +156,9 @@
                 self._write(connection, request, try_id, left)
                 await connection.read_response(answer)
         except iostream.StreamClosedError as exc:
-            answer.broken(str(exc.real_error or exc))
+            answer.connection_lost(str(exc.real_error or exc))
         except iostream.UnsatisfiableReadError:
-            answer.broken("the answer's headers are too large")
+            answer.connection_lost("the answer's headers are too large")
         except TimeoutError:
             answer.time_out()
         finally:
