--- a/mustardgap/answers.py
+++ b/mustardgap/answers.py
@@ -1,4 +1,4 @@
-"""Taking in an executor's answer: whole, or passed on while it arrives, or known to be neither."""
+"""Receives an executor's answer: buffered, relayed while it arrives, or detected as broken."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -20,24 +20,24 @@
 
 
 class Sink(Protocol):
-    """Where an answer goes that is too large to be held."""
+    """Takes an answer that is too large to be buffered."""
 
     async def start(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Send status and headers on."""
+        """Relay status and headers."""
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece on and wait until the caller has taken it."""
+        """Relay a chunk and wait until it has been written to the caller."""
 
 
 class EarlyTimeout(NamedTuple):
-    """Seconds to wait for the first sign of an answer, and whether to give up then."""
+    """Seconds to wait for the answer's headers, and whether to time out then."""
 
     seconds: float
     may_give_up: Callable[[], bool]
 
 
 class AnswerReader(httputil.HTTPMessageDelegate):
-    """Takes one answer in, holding it until it is whole or too large to be held."""
+    """Receives one answer, buffering it until it is complete or too large to be buffered."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Check that the answer is to this request and that its end can be seen."""
+        """Check that the answer belongs to this request and that its end can be detected."""
         assert isinstance(start_line, httputil.ResponseStartLine)
         if start_line.code < 200 or self.result is not None:
             return
@@ -87,7 +87,7 @@
         return len(framing) == 1
 
     async def data_received(self, chunk: bytes) -> None:
-        """Hold a piece, or pass it on once the answer is too large."""
+        """Buffer a chunk, or relay it once the answer is too large."""
         if self.result is not None:
             return
         self._size += len(chunk)
@@ -110,7 +110,7 @@
             self._end_with(CallerGone(leaving=self._leaving))
 
     def finish(self) -> None:
-        """The answer is whole."""
+        """Store the result of a complete answer."""
         if self.result is not None:
             return
         if self._is_relaying:
@@ -124,11 +124,11 @@
             )
 
     def on_connection_close(self) -> None:
-        """The answer broke off or is malformed."""
+        """Handle an answer that broke off or is malformed."""
         self.connection_lost("the answer broke off")
 
     def connection_lost(self, detail: str) -> None:
-        """Note that the connection ended early."""
+        """Store the result of a connection that ended early."""
         if self.result is not None:
             return
         if self._status:
@@ -137,12 +137,12 @@
             self.result = Reset(detail=detail)
 
     def time_out(self) -> None:
-        """Give up at the deadline."""
+        """Stop receiving at the deadline."""
         if self.result is None:
             self._end_with(TimedOut(begun=self._is_relaying))
 
     def time_out_early(self, early_timeout: EarlyTimeout) -> None:
-        """Give up early when nothing has come back and another executor may be asked."""
+        """Stop early if no headers have arrived and another executor may be tried."""
         if self.result is None and not self._status and early_timeout.may_give_up():
             self._end_with(TimedOut(early=True))
 
--- a/mustardgap/callers.py
+++ b/mustardgap/callers.py
@@ -25,26 +25,26 @@
 from .timers import Clock
 
 METRIC_LABELS = {"port": "callers"}
-# Connections over the limit still get a true refusal, up to this share of the limit.
+# Connections over the limit still get a refusal with a code, up to this fraction of the limit.
 SPARE_CONNECTIONS_FRACTION = 0.1
-# What tornado writes when it can't parse a message.
+# What tornado sends when it can't parse a message.
 BARE_400 = b"HTTP/1.1 400 Bad Request\r\n\r\n"
 NO_LIMIT = 1 << 62
-# Time for the last answers to go out before the connections close.
+# Time to send the last answers before the connections are closed.
 CUT_OFF_TIMEOUT_S = 1.0
 UNREAD_POLL_INTERVAL_S = 0.01
 
 
 class _CallerStream(iostream.IOStream):
-    """A caller's connection; ``latest`` is the exchange that it carries."""
+    """A caller's connection; ``latest_exchange`` is the newest exchange on it."""
 
     latest_exchange: Exchange | None = None
 
     def write(self, data: bytes | memoryview) -> "asyncio.Future[None]":
-        """Write, with an answer of our own in place of tornado's for what it can't parse.
+        """Write data, replacing tornado's answer to a message that it can't parse.
 
-        Tornado's is a bare status line and comes before a delegate sees the request. The caller
-        would get an answer without a result code, or a second one after our refusal.
+        Tornado sends a bare status line before a delegate sees the request. The caller would get
+        an answer without a result code, or a second answer after a refusal.
         """
         if data == BARE_400 and self.latest_exchange is not None:
             metrics.malformed_requests.add(1, METRIC_LABELS)
@@ -57,12 +57,12 @@
 
 
 class Callers(httputil.HTTPServerConnectionDelegate):
-    """Serves callers on the port of the settings; each connection has one task.
+    """Serves callers on the configured port; each connection has one task.
 
     :param settings: the daemon's settings.
     :param sessions: runs the requests.
-    :param timeline: where starting and stopping is noted.
-    :param readiness: whether this entry host may serve; without it, it always may.
+    :param timeline: records starting and stopping.
+    :param readiness: tells whether this entry host may serve; if None, it always may.
     :param clock: the clocks to read.
     """
 
@@ -91,7 +91,7 @@
         self._stop_accepting: list[Callable[[], None]] = []
 
     async def run(self) -> None:
-        """Listen until cancelled; connections that are open then are left alone.
+        """Listen until cancelled; open connections are not closed then.
 
         :raises MustardgapError: MG2003, the address is in use.
         """
@@ -120,11 +120,11 @@
         self.timeline.add("callers.open", port=self.port)
 
     async def drain(self) -> None:
-        """Stop without cutting off a request or a connection that is just being used.
+        """Stop without cutting off a request or a connection that is in use.
 
         First this host tells the balancer that it isn't ready and goes on serving, closing each
-        connection after its answer, so that requests can go elsewhere. Then it refuses what still
-        comes, truthfully, until all that is in flight has ended.
+        connection after its answer, so that requests can go elsewhere. Then it refuses new
+        requests with the code for draining until all requests in flight have ended.
         """
         self.draining = True
         self.timeline.add("callers.draining", exchanges=len(self._exchanges))
@@ -137,7 +137,7 @@
         self.timeline.add("callers.closed")
 
     async def cut_off(self) -> None:
-        """Answer what is under way without waiting for its outcome, and close all connections."""
+        """Answer requests in flight without waiting for outcomes, and close all connections."""
         self.draining = self.refusing = True
         for exchange in list(self._exchanges):
             exchange.cut_off()
@@ -151,11 +151,11 @@
             connection.stream.close()
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send requests here."""
+        """Tell whether the balancer should send requests to this server."""
         return not self.draining and (self.readiness is None or self.readiness.ready)
 
     def refusal(self) -> NotRun | None:
-        """Why requests are refused now, None when they aren't."""
+        """Return why requests are refused now, None when they aren't."""
         if self.refusing:
             return NotRun(code=status_codes.DRAINING)
         if self.readiness is None or self.readiness.ready or self.readiness.stopping:
@@ -163,16 +163,16 @@
         return NotRun(code=status_codes.NOT_CURRENT, detail=self.readiness.reason)
 
     def register(self, exchange: Exchange) -> None:
-        """Note an exchange that has begun."""
+        """Add an exchange that has begun."""
         self._exchanges.add(exchange)
 
     def unregister(self, exchange: Exchange) -> None:
-        """Forget an exchange that has ended."""
+        """Remove an exchange that has ended."""
         self._exchanges.discard(exchange)
         self._exchange_ended.set()
 
     def start_request(self, server_conn: object, request_conn: httputil.HTTPConnection) -> Exchange:
-        """Make the delegate for the next request of a connection."""
+        """Create the delegate for the next request of a connection."""
         connection = cast(HTTP1ServerConnection, server_conn)
         exchange = Exchange(
             server=self,
@@ -186,7 +186,7 @@
         return exchange
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self._connections.discard(cast(HTTP1ServerConnection, server_conn))
         metrics.callers_connections.add(-1)
 
@@ -201,7 +201,7 @@
         parameters = HTTP1ConnectionParameters(
             max_header_size=callers.max_header_bytes,
             header_timeout=callers.header_timeout_s,
-            # Checked by the exchange, which can give a refusal with a code.
+            # Checked by the exchange, which can send a refusal with a code.
             max_body_size=NO_LIMIT,
             body_timeout=callers.max_timeout_s,
         )
@@ -211,10 +211,10 @@
         connection.start_serving(self)
 
     async def _wait_until_idle(self, deadline: float) -> None:
-        """Wait until no request is under way, nor has one come that wasn't read yet.
+        """Wait until no request is in flight and none waits unread.
 
-        Closed with bytes unread, a connection is reset: the caller that has just sent a request
-        would be told nothing, where it could be told that it wasn't run.
+        A connection that is closed with unread bytes is reset: a caller that has just sent a
+        request would get no answer, although it could be told that the request wasn't run.
         """
         while self.clock.monotonic() < deadline:
             if self._exchanges:
@@ -247,20 +247,20 @@
 
 
 def _has_pending_connection(sock: socket.socket) -> bool:
-    """Whether a listening socket has a connection that wasn't accepted yet."""
+    """Tell whether a listening socket has a connection that isn't accepted yet."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(0))
 
 
 def _has_unread_bytes(stream: iostream.IOStream) -> bool:
-    """Whether something has come on a connection that wasn't read yet."""
+    """Tell whether a connection has received bytes that aren't read yet."""
     if stream.closed():
         return False
     try:
         return bool(stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except OSError:
-        # Nothing has come, or the connection is broken.
+        # Nothing has been received, or the connection is broken.
         return False
 
 
--- a/mustardgap/exchanges.py
+++ b/mustardgap/exchanges.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its connection, from the first header to the end of its answer."""
+"""Handles one request of a caller, from its first header to the end of its answer."""
 
 import asyncio
 import socket
@@ -29,7 +29,7 @@
 
 
 class Server(Protocol):
-    """The server that an exchange belongs to."""
+    """The server that accepted the connection of an exchange."""
 
     settings: Settings
     sessions: Sessions
@@ -38,24 +38,24 @@
     held_bytes: int
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send requests here."""
+        """Tell whether the balancer should send requests to this server."""
 
     def refusal(self) -> NotRun | None:
-        """Why requests are refused now, None when they aren't."""
+        """Return why requests are refused now, None when they aren't."""
 
     def register(self, exchange: "Exchange") -> None:
-        """Note an exchange that has begun."""
+        """Add an exchange that has begun."""
 
     def unregister(self, exchange: "Exchange") -> None:
-        """Forget an exchange that has ended."""
+        """Remove an exchange that has ended."""
 
 
 class Exchange(httputil.HTTPMessageDelegate):
     """One request of a caller and its answer.
 
-    :param host: the server.
+    :param server: the server that accepted the connection.
     :param connection: the connection, for the answer.
-    :param over_limit: whether the connection is one too many.
+    :param over_limit: whether the connection exceeds the limit of open connections.
     """
 
     def __init__(self, *, server: Server, connection: HTTP1Connection, over_limit: bool) -> None:
@@ -78,7 +78,7 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Check the head; what is refused here is answered before its body is read."""
+        """Check the head; a request that is refused here is answered before its body is read."""
         self.server.register(self)
         self._start_line = cast(httputil.RequestStartLine, start_line)
         self._headers = headers
@@ -103,7 +103,7 @@
             metrics.malformed_requests.add(1, {"port": "callers"})
             return NotRun(code=status_codes.BAD_REQUEST, detail=detail)
         length = self._headers.get("Content-Length", "0")
-        # Python makes no number of thousands of digits, but raises an error.
+        # int() raises ValueError for a text of thousands of digits.
         if len(length) > MAX_LENGTH_DIGITS or int(length) > self._max_body_bytes():
             return self._too_large()
         if self._over_limit:
@@ -121,9 +121,9 @@
         return NotRun(code=status_codes.TOO_LARGE, detail=detail)
 
     def _refuse(self, refusal: NotRun) -> None:
-        # The answer goes out now, but the connection is finished only when the rest of the
-        # request has been read, or at the time-out: closed with bytes unread, it would be reset,
-        # and the reset could overtake the answer.
+        # The answer is sent now, but the connection is closed only when the rest of the request
+        # has been read, or at the timeout: closing it with unread bytes would reset it, and the
+        # reset could reach the caller before the answer.
         self._drop_body()
         timeout_s = self.server.settings.callers.header_timeout_s
         self._timer = asyncio.get_running_loop().call_later(timeout_s, self._connection.close)
@@ -132,7 +132,7 @@
             self._connection.finish()
 
     def data_received(self, chunk: bytes) -> None:
-        """Hold a piece of the body, up to the limit."""
+        """Buffer a chunk of the body, up to the limit."""
         if self.answered:
             return
         self._body.append(chunk)
@@ -145,7 +145,7 @@
             self._refuse(NotRun(code=status_codes.OVER_BUDGET, detail=detail, retry_after=2.0))
 
     def finish(self) -> None:
-        """The request is whole: run it."""
+        """Run the request, which has been read completely."""
         if self.answered:
             self._connection.finish()
             self._connection.close()
@@ -155,15 +155,15 @@
         self._task.add_done_callback(lambda _: self._release())
 
     def on_connection_close(self) -> None:
-        """The caller went before its request was whole."""
+        """Clean up after a caller that disconnected before its request was complete."""
         self._release()
 
     def cut_off(self) -> None:
-        """End the handling, because this host closes its connections; what is owed is answered."""
+        """End the handling as this server closes its connections; a missing answer is sent."""
         self._is_cut_off = True
         if self._task is not None:
-            # Later than the task's first step: cancelled before it, the task would run no line of
-            # its code, and so give no answer.
+            # Cancelled after the task's first step: a task that is cancelled before it runs none
+            # of its code, and so would send no answer.
             asyncio.get_running_loop().call_soon(self._task.cancel)
         elif not self.answered:
             self._refuse(NotRun(code=status_codes.DRAINING))
@@ -193,14 +193,14 @@
             await self._send_outcome(await self._handle())
 
     async def _answer_failure(self, exc: BaseException) -> None:
-        """Give the answer that is still owed when the handling has ended without one.
+        """Send the missing answer when the handling has ended without one.
 
-        The cancellation of something that is only waited for, such as a call on a channel that was
-        closed, ends this task as an error does. The caller's connection would close without a byte,
-        and the caller couldn't tell whether its request may be sent again.
+        If something that this task awaits is cancelled, such as a call on a closed channel, this
+        task ends as with an error. The caller's connection would close without a byte, and the
+        caller couldn't tell whether its request may be sent again.
         """
         if self._connection.stream.closed():
-            # The caller has hung up, which cancels the handling, so there is nobody to answer.
+            # The caller has hung up, which cancels the handling; no answer can be sent.
             if not isinstance(exc, asyncio.CancelledError):
                 logging.error("request %s failed", self.request_id, exc_info=exc)
             self._connection.close()
@@ -222,7 +222,10 @@
             how=failure.how.value,
         )
         logging.error(
-            "no outcome of request %s (%s)", self.request_id, failure.how.value, exc_info=exc
+            "request %s ended without an outcome (%s)",
+            self.request_id,
+            failure.how.value,
+            exc_info=exc,
         )
 
     def _failure_outcome(self, refusal: Code) -> NotRun | Unknown:
@@ -264,7 +267,7 @@
 
     async def _send_answer(self, answer: Answer) -> None:
         try:
-            # A caller that takes no more of its answer would keep its connection and what it holds.
+            # A caller that stops reading its answer would keep its connection and its buffers.
             async with asyncio.timeout(self.server.settings.callers.idle_timeout_s):
                 await self._write(answer, close=self.server.draining)
         except (iostream.StreamClosedError, TimeoutError):
@@ -297,12 +300,12 @@
             headers["Connection"] = "close"
         line = httputil.ResponseStartLine("HTTP/1.1", status, responses.get(status, "Unknown"))
         written = self._connection.write_headers(line, headers, body)
-        # Only now: nothing has gone out of an answer that can't be written, so another one may.
+        # Set after the write: if it raises, nothing has been sent and another answer may follow.
         self.answered = True
         return written
 
     async def start(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Begin to pass on an answer that is too large to be held."""
+        """Begin to relay an answer that is too large to be buffered."""
         own = [
             ("X-Request-Id", self.request_id),
             ("X-Result-Code", str(status_codes.ANSWERED.number)),
@@ -310,14 +313,14 @@
         await self._write_head(status, headers + own, None, close=self.server.draining)
 
     async def write(self, chunk: bytes) -> None:
-        """Pass on a piece and wait until the caller has taken it."""
+        """Relay a chunk and wait until it has been written to the caller."""
         await self._connection.write(chunk)
         if self._connection.stream.closed():
             raise iostream.StreamClosedError()
 
     def _reset(self) -> None:
-        # Part of an answer has gone out. An orderly close could be taken for its end, by a caller
-        # that reads until the connection closes; a reset can't.
+        # Part of an answer has been sent. A caller that reads until the connection closes could
+        # mistake an orderly close for the answer's end, but not a reset.
         sock = self._connection.stream.socket
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -325,10 +328,10 @@
 
 
 def _malformation(line: httputil.RequestStartLine, headers: httputil.HTTPHeaders) -> str:
-    """What is wrong with a request's head, "" for nothing.
+    """Return what is wrong with a request's head, "" for nothing.
 
-    Two readings of where a request ends let one request be taken for two on the way (smuggling),
-    so whatever could be read in two ways is refused.
+    If two servers disagree on where a request ends, one request can pass as two (request
+    smuggling), so whatever is ambiguous is refused.
     """
     lengths = headers.get_list("Content-Length")
     codings = headers.get_list("Transfer-Encoding")
@@ -356,7 +359,7 @@
 
 
 def _origin_form(target: str) -> str:
-    """A target as a path with its query, also when it came as a whole URL (RFC 9112, 3.2.2)."""
+    """Return a target as a path with its query, also if it is an absolute URL (RFC 9112, 3.2.2)."""
     if not target.startswith("http"):
         return target
     parts = urlsplit(target)
--- a/mustardgap/open_requests.py
+++ b/mustardgap/open_requests.py
@@ -1,4 +1,4 @@
-"""Requests that were read whole and wait for their one answer."""
+"""Tracks requests that were read completely and wait for their answer."""
 
 import asyncio
 import traceback
@@ -15,11 +15,11 @@
 
 
 class OpenRequest(NamedTuple, Generic[AnswerT]):
-    """One request, and what gives its answer.
+    """One request, with the functions that answer it.
 
-    ``method``, ``path`` and ``job``, the id of the job that it is about, are for the log.
-    ``fallback`` makes an answer that is true whatever the handling has done by then. ``send``
-    hands an answer to the caller's connection, and raises nothing.
+    ``method``, ``path`` and ``job``, the id of the job concerned, are for the log. ``fallback``
+    makes an answer that is correct whatever the handling has done by then. ``send`` writes an
+    answer to the caller's connection and never raises.
     """
 
     method: str
@@ -31,14 +31,14 @@
 
 
 class _PendingRequest(NamedTuple):
-    """A request without an answer, and the steady time since when it waits."""
+    """A request without an answer, and the monotonic time at which it began."""
 
     request: OpenRequest[Any]
     began_at: float
 
 
 class OpenRequests:
-    """Sees to it that each request gets exactly one answer, however its handling ends.
+    """Ensures that each request gets exactly one answer, however its handling ends.
 
     :param events: the process's event log.
     """
@@ -48,17 +48,17 @@
         self._pending_by_task: dict[asyncio.Task[Any], _PendingRequest] = {}
 
     def start_handling(self, request: OpenRequest[AnswerT]) -> None:
-        """Handle a request in a task of its own, and answer it when that has ended."""
+        """Handle a request in a task of its own, and answer it when the task has ended."""
         task = asyncio.create_task(request.handle(), name=f"request:{request.path}")
         self._pending_by_task[task] = _PendingRequest(request, self._events.clock.monotonic())
-        # Whatever the handling waits for may fail, or be cancelled by others who share it: a
-        # connection that is closed, a shard that is given up. If the task itself owed the answer,
-        # its caller would see a silent connection until one side ended it. A callback runs however
-        # a task ends, even one that is cancelled before its first step.
+        # Whatever the handling awaits may fail, or be cancelled by others that share it, as when a
+        # connection is closed or a shard is given up. If the task itself sent the answer, its
+        # caller would wait on a silent connection until one side closed it. A callback runs
+        # however a task ends, even if it is cancelled before its first step.
         task.add_done_callback(self._on_handled)
 
     async def drain(self, *, timeout_s: float) -> None:
-        """Wait until all requests are answered; those that aren't in time get their fallback.
+        """Wait until all requests are answered; those that aren't in time get the fallback.
 
         :param timeout_s: seconds to wait for their handling.
         """
@@ -67,7 +67,7 @@
                 while self._pending_by_task:
                     await asyncio.wait(list(self._pending_by_task))
         for task in list(self._pending_by_task):
-            # Answered first: a handling that is cancelled may take its time to end.
+            # Answered first, as a cancelled handling may take long to end.
             self._send_fallback(task, asyncio.CancelledError(), stopping=True)
             task.cancel()
 
@@ -85,7 +85,7 @@
         self, task: "asyncio.Task[Any]", exc: BaseException, *, stopping: bool = False
     ) -> None:
         request, began_at = self._pending_by_task.pop(task)
-        # The answer first: a line that can't be written costs the caller nothing.
+        # Answered first, so that a log line that can't be written doesn't cost the answer.
         request.send(request.fallback(unanswered.failure_kind(exc, stopping=stopping)))
         failure = unanswered.record_failure(exc, stopping=stopping)
         self._events.note(
@@ -102,7 +102,7 @@
 
 
 def _raise_location(exc: BaseException) -> str:
-    """Where an exception was raised, as ``file:line in function``."""
+    """Return where an exception was raised, as ``file:line in function``."""
     frames = traceback.extract_tb(exc.__traceback__)
     if not frames:
         return ""
--- a/mustardgap/outcomes.py
+++ b/mustardgap/outcomes.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answered:
-    """An executor gave a whole answer to this request."""
+    """An executor gave a complete answer to this request."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Streamed:
-    """A whole answer was passed on while it arrived."""
+    """A complete answer was relayed to the caller while it arrived."""
 
     status: int
     size: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotRun:
-    """The request certainly wasn't run; ``retry_after`` is in seconds."""
+    """The request was certainly not run; ``retry_after`` is in seconds."""
 
     code: Code
     detail: str = ""
@@ -49,7 +49,7 @@
 class AlreadyRan:
     """An earlier request with the same key ran and was answered; the answer wasn't kept.
 
-    :param status: the status of that answer.
+    :param status: the HTTP status of that answer.
     """
 
     status: int
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BrokenOff:
-    """Part of the answer was passed on before it broke off; the caller's connection is reset."""
+    """Part of the answer was relayed before it broke off; the caller's connection is reset."""
 
     code: Code
     detail: str = ""
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Rejected:
-    """The fold turned a record down; ``changed`` names what is newer than its base."""
+    """The fold rejected a record; ``changed`` names what is newer than the record's base."""
 
     code: Code
     detail: str = ""
--- a/mustardgap/problems.py
+++ b/mustardgap/problems.py
@@ -1,4 +1,4 @@
-"""How each outcome of a request is told to the caller: status, headers and body."""
+"""Renders each outcome of a request as an answer to the caller: status, headers and body."""
 
 import math
 from functools import singledispatch
@@ -16,7 +16,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer as it goes to the caller."""
+    """An answer as it is sent to the caller."""
 
     status: int
     headers: Headers
@@ -24,7 +24,7 @@
 
 
 class Problem(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """Problem details (RFC 9457) with the members of mustardgap's own."""
+    """Problem details (RFC 9457) with mustardgap's extension members."""
 
     type: str
     title: str
@@ -41,8 +41,8 @@
 def answer(outcome: Outcome, *, request_id: str) -> Answer:
     """Make the answer for an outcome.
 
-    :param outcome: what became of the request.
-    :param request_id: the caller's own id of the request.
+    :param outcome: the request's outcome.
+    :param request_id: the request's id as the caller knows it.
     :rtype: Answer
     """
     status, headers, body = _render(outcome, request_id)
@@ -52,7 +52,7 @@
 
 @singledispatch
 def _render(outcome: Any, request_id: str) -> Answer:
-    raise TypeError(f"{type(outcome).__name__} has no answer of its own")
+    raise TypeError(f"no answer is defined for {type(outcome).__name__}")
 
 
 @_render.register
@@ -62,7 +62,7 @@
 
 @_render.register
 def _(outcome: NotRun, request_id: str) -> Answer:
-    # Rounded up: a caller that comes back by the rounded-down time would come too early.
+    # Rounded up, as a caller that retried after a rounded-down time would be too early.
     retry_after = max(1, math.ceil(outcome.retry_after))
     problem = _problem(outcome.code, outcome.detail, "no", request_id)
     problem.retry_after = retry_after
--- a/mustardgap/reasons.py
+++ b/mustardgap/reasons.py
@@ -1,4 +1,4 @@
-"""Why a host is where it is, and what a pool's or service's margin is made of, in plain numbers."""
+"""Explains where a host is and why, and how the margin of a pool or service is calculated."""
 
 from typing import Any
 
@@ -17,8 +17,8 @@
     :param state: the folded state.
     :param kind: ``host``, ``pool`` or ``service``.
     :param name: its name.
-    :param now: seconds since the epoch; the log's time when None.
-    :return: lines of text, none when there is nothing of that name.
+    :param now: seconds since the Unix epoch; the log's time if None.
+    :return: lines of text, none if nothing has that name.
     """
     now = state.time if now is None else now
     fleet = Fleet(declarations_by_key=state.declarations_by_key, hosts=state.hosts_by_name.values())
--- a/mustardgap/status_codes.py
+++ b/mustardgap/status_codes.py
@@ -1,7 +1,7 @@
-"""Numbered result codes: one table for callers, operators, the log and exit statuses.
+"""Numbered result codes, in one table for callers, operators, the log and exit statuses.
 
 The ranges are 1xxx requests, 2xxx settings and start-up, 3xxx records on the log, 4xxx capacity
-and jobs, 5xxx the platform and peers, 6xxx the command line. A number, once released, keeps its
+and jobs, 5xxx the platform and peers, 6xxx the command line. A released number never changes its
 meaning.
 """
 
@@ -29,9 +29,9 @@
     number: int, name: str, http_status: int, exit_status: int, title: str, advice: str
 ) -> Code:
     if number in by_number:
-        raise ValueError(f"result code {number} is taken by {by_number[number].name}")
+        raise ValueError(f"result code {number} is already defined as {by_number[number].name}")
     if any(code.name == name for code in by_number.values()):
-        raise ValueError(f"result code {name} has two numbers")
+        raise ValueError(f"result code {name} is defined with two numbers")
     code = Code(number, name, http_status, exit_status, title, advice)
     by_number[number] = code
     return code
@@ -250,7 +250,7 @@
     2006, "tls_invalid", 400, 20, "A key or certificate can't be used", "Check the files named."
 )
 
-# 3xxx: records the fold turned down.
+# 3xxx: records that the fold rejected.
 STALE_BASE = _code(
     3000,
     "stale_base",
--- a/mustardgap/unanswered.py
+++ b/mustardgap/unanswered.py
@@ -1,4 +1,4 @@
-"""Tells how the handling of a request ended that had no answer for the caller."""
+"""Classifies and counts requests whose handling ended without an answer for the caller."""
 
 import asyncio
 import enum
@@ -8,26 +8,26 @@
 
 
 class FailureKind(enum.Enum):
-    """How a handling ended that gave no answer."""
+    """How the handling of a request ended without an answer."""
 
     FAILED = "failed"
     CANCELLED = "cancelled"
-    # By a stop of this daemon.
+    # Ended because this daemon is stopping.
     CUT = "cut"
 
 
 class Failure(NamedTuple):
-    """What ended the handling of a request; ``cause`` is the error."""
+    """How the handling of a request ended without an answer; ``cause`` is the error."""
 
     how: FailureKind
     cause: str
 
 
 def failure_kind(exc: BaseException, *, stopping: bool = False) -> FailureKind:
-    """How the handling of a request ended.
+    """Classify how the handling of a request ended.
 
     :param exc: the exception that the handling ended with.
-    :param stopping: whether this daemon ended it, because it stops.
+    :param stopping: whether this daemon ended it because it is stopping.
     """
     if stopping:
         return FailureKind.CUT
@@ -35,7 +35,7 @@
 
 
 def record_failure(exc: BaseException, *, stopping: bool = False) -> Failure:
-    """What ended the handling of a request, counted; see ``ending_of``."""
+    """Classify what ended the handling of a request, and count it; see ``failure_kind``."""
     how = failure_kind(exc, stopping=stopping)
     metrics.unanswered_requests.add(1, {"how": how.value})
     return Failure(how, "this entry host has stopped" if stopping else repr(exc))
