--- a/features/support/answer_cases.py
+++ b/features/support/answer_cases.py
@@ -9,7 +9,7 @@
 from tools.owner_troubles import TWO_STEPS
 from tools.owner_worlds import QUEUE
 
-from .answer_worlds import PAUSE_S, AnswerWorld, until
+from .answer_worlds import POLL_INTERVAL_S, AnswerWorld, until
 from .suspensions import (
     Meddle,
     Suspensions,
@@ -26,16 +26,16 @@
 DEADLINE_MS = 1000
 # A request is unanswered once its handling has been over for so long, or the caller has waited for
 # several times as long as all calls of its handling take together.
-AFTER_S = 2.0
-PATIENCE_S = 15.0
+ANSWER_DELAY_S = 2.0
+ANSWER_TIMEOUT_S = 15.0
 # While another request's record is on its way to the store.
-SLOW_S = 0.1
+STORE_DELAY_S = 0.1
 MAX_POINTS = 60
 # Of drawn cases: how often one is hit, and up to which point; few ways have more.
 MAX_HITS = 3
-DRAWN_POINTS = 3
-REFUSED = (429, 503)
-STATUSES = (200, 410, *REFUSED, 504)
+MAX_DRAWN_POINT = 3
+REFUSAL_STATUSES = (429, 503)
+STATUSES = (200, 410, *REFUSAL_STATUSES, 504)
 
 
 class Request(NamedTuple):
@@ -49,9 +49,9 @@
 
 REQUESTS = {
     "new job": Request("POST", QUEUE.path_prefix + JOB, BODY, JOB_KEY + JOB),
-    "cancelling": Request("DELETE", QUEUE.path_prefix + JOB, b"", PROGRESS_KEY + JOB),
-    "question for a job": Request("GET", QUEUE.path_prefix + JOB),
-    "count of a queue": Request("GET", QUEUE.path_prefix),
+    "job cancellation": Request("DELETE", QUEUE.path_prefix + JOB, b"", PROGRESS_KEY + JOB),
+    "job query": Request("GET", QUEUE.path_prefix + JOB),
+    "queue count": Request("GET", QUEUE.path_prefix),
 }
 
 
@@ -66,41 +66,41 @@
 
     at_owner: bool = False
     is_owner_known: bool = True
-    is_on_record: bool = False
+    is_stored: bool = False
     earlier: tuple[str, ...] = ()
 
 
 SITUATIONS = {
     "its job is new": Situation(),
-    "its job is on record": Situation(is_on_record=True),
+    "its job is stored": Situation(is_stored=True),
     "its job is unknown": Situation(),
     "its job is being stored": Situation(earlier=("new job",)),
-    "the owner isn't known yet": Situation(is_owner_known=False, is_on_record=True),
-    "the asked daemon is the owner": Situation(at_owner=True, is_on_record=True),
-    "the asked daemon is the owner, its job is new": Situation(at_owner=True),
+    "the owner isn't known yet": Situation(is_owner_known=False, is_stored=True),
+    "the receiving daemon is the owner": Situation(at_owner=True, is_stored=True),
+    "the receiving daemon is the owner, its job is new": Situation(at_owner=True),
     "the owner isn't known yet, its job is new": Situation(is_owner_known=False),
 }
 
 
-def _fault() -> BaseException:
+def _internal_error() -> BaseException:
     return ValueError("a fault of ours")
 
 
 THROWN: dict[str, Meddle] = {
-    "an error is raised": throw_at_once(_fault),
-    "an error is raised afterwards": throw_afterwards(_fault),
+    "an error is raised": throw_at_once(_internal_error),
+    "an error is raised after the wait": throw_afterwards(_internal_error),
     "a cancellation is raised": throw_at_once(asyncio.CancelledError),
-    "a cancellation is raised afterwards": throw_afterwards(asyncio.CancelledError),
-    "its task is cancelled": cancel_task,
+    "a cancellation is raised after the wait": throw_afterwards(asyncio.CancelledError),
+    "the task is cancelled": cancel_task,
 }
-TROUBLES: dict[str, Callable[[AnswerWorld], Awaitable[None]]] = {
-    "another call's time is over": AnswerWorld.end_another_call,
+FAULTS: dict[str, Callable[[AnswerWorld], Awaitable[None]]] = {
+    "another call times out": AnswerWorld.end_another_call,
     "the channel is closed": AnswerWorld.close_channels,
     "the shard is given up": AnswerWorld.give_up_shard,
-    "the shard goes to the other daemon": AnswerWorld.hand_shard_over,
+    "the shard moves to the other daemon": AnswerWorld.move_shard,
     "a part of the ownership fails": AnswerWorld.end_ownership,
-    "the store gets no calls": AnswerWorld.hold_store,
-    "the store's answers don't come": AnswerWorld.hold_store_answers,
+    "calls to the store are held back": AnswerWorld.hold_store,
+    "answers of the store are held back": AnswerWorld.hold_store_answers,
     "the owner's server stops": AnswerWorld.stop_server,
     "the front is stopped": AnswerWorld.stop_front,
     "the front is stopped at once": AnswerWorld.stop_front_at_once,
@@ -110,13 +110,13 @@
 class Hit(NamedTuple):
     """A trouble, by its name, at a point of the way of a case's requests.
 
-    :param side: whose points are counted, "asked" or "owning".
+    :param side: whose points are counted, "receiving" or "owning".
     :param point: the point's number, from 1.
     """
 
     side: str
     point: int
-    trouble: str
+    fault: str
 
 
 class Case(NamedTuple):
@@ -144,15 +144,15 @@
     case: Case
     hits: int
     was_read: bool
-    told: str
+    reply: str
     problems: list[str]
 
     def __str__(self) -> str:
-        hits = "; ".join(f"at {h.side} point {h.point} {h.trouble}" for h in self.case.hits)
+        hits = "; ".join(f"at {h.side} point {h.point} {h.fault}" for h in self.case.hits)
         if self.case.stopped_after is not None:
             hits = f"the front stopped {self.case.stopped_after} turns after"
         problems = ", ".join(self.problems)
-        return f"{self.case.request}, {self.case.situation}, {hits}: {problems} ({self.told})"
+        return f"{self.case.request}, {self.case.situation}, {hits}: {problems} ({self.reply})"
 
 
 class Caller:
@@ -173,7 +173,7 @@
 
     async def connect(self) -> None:
         """Connect to the asked daemon."""
-        port = self._world.asked.front_port
+        port = self._world.receiving.front_port
         self._reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
 
     def send(self) -> None:
@@ -188,7 +188,7 @@
         self._writer.write("\r\n".join([*lines, "", ""]).encode() + self.request.body)
         self._reading = asyncio.ensure_future(self._read())
 
-    async def see_read(self) -> None:
+    async def wait_until_read(self) -> None:
         """Wait until the request has been read, or the connection has ended."""
         await until(
             lambda: self._world.handling > self._before or self._reading.done(),
@@ -199,7 +199,7 @@
 
     async def read(self) -> None:
         """Read the answer, and note what is wrong with it."""
-        waiting = asyncio.ensure_future(self._lose_patience())
+        waiting = asyncio.ensure_future(self._time_out())
         both = [self._reading, waiting]
         await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
         for task in both:
@@ -213,7 +213,7 @@
     async def read_end(self) -> None:
         """Read what comes until the connection ends."""
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 rest = await self._reader.read()
         except ConnectionError:
             rest = b""
@@ -235,41 +235,41 @@
         self.status = int(head.split()[1])
         self.code = fields.get("X-Result-Code", "")
 
-    async def _lose_patience(self) -> None:
+    async def _time_out(self) -> None:
         loop = asyncio.get_running_loop()
-        end = loop.time() + PATIENCE_S
+        end = loop.time() + ANSWER_TIMEOUT_S
         while loop.time() < end and not self._world.is_handled:
-            await asyncio.sleep(PAUSE_S)
-        await asyncio.sleep(AFTER_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        await asyncio.sleep(ANSWER_DELAY_S)
 
 
-async def play(case: Case) -> Outcome:
+async def run_case(case: Case) -> Outcome:
     """Play one case."""
     situation = SITUATIONS[case.situation]
     world = AnswerWorld()
-    front, handler = (_suspensions(world, case, side) for side in ("asked", "owning"))
+    front, handler = (_suspensions(world, case, side) for side in ("receiving", "owning"))
     await world.start(at_owner=situation.at_owner, front=front, handler=handler)
     await _arrange(world, situation)
     names = (*situation.earlier, case.request)
     callers = [Caller(world=world, request=REQUESTS[name]) for name in names]
-    check = _Check(world=world, callers=callers, was_accepted=situation.is_on_record)
+    check = _Check(world=world, callers=callers, was_accepted=situation.is_stored)
     for caller in callers:
         await caller.connect()
     for caller in callers:
         caller.send()
         if case.stopped_after is not None:
             await _stop_front(world, case.stopped_after)
-        await caller.see_read()
-    await asyncio.gather(*(check.look_at(caller) for caller in callers))
-    check.look_at_refusals("now")
+        await caller.wait_until_read()
+    await asyncio.gather(*(check.check_answer(caller) for caller in callers))
+    check.check_refusals("now")
     await world.settle()
     left = await world.close()
-    check.look_at_refusals("later")
+    check.check_refusals("later")
     for caller in callers:
         await caller.read_end()
     problems = [problem for caller in callers for problem in caller.problems]
-    problems += [f"left open: {one}" for one in left] + world.failures
-    seen_by_side = {"asked": front.seen, "owning": handler.seen}
+    problems += [f"left open: {coroutine}" for coroutine in left] + world.failures
+    seen_by_side = {"receiving": front.seen, "owning": handler.seen}
     hits = sum(hit.point <= seen_by_side[hit.side] for hit in case.hits)
     last = callers[-1]
     return Outcome(case, hits, last.was_read, f"told {last.status} {last.code}", problems)
@@ -283,24 +283,24 @@
 
 def _suspensions(world: AnswerWorld, case: Case, side: str) -> Suspensions:
     hits = [hit for hit in case.hits if hit.side == side]
-    return Suspensions(meddles_by_point={hit.point: _meddle(world, hit.trouble) for hit in hits})
+    return Suspensions(meddles_by_point={hit.point: _meddle(world, hit.fault) for hit in hits})
 
 
-def _meddle(world: AnswerWorld, trouble: str) -> Meddle:
-    return THROWN.get(trouble) or hold_during(lambda: world.strike(TROUBLES[trouble]))
+def _meddle(world: AnswerWorld, fault: str) -> Meddle:
+    return THROWN.get(fault) or hold_during(lambda: world.inject(FAULTS[fault]))
 
 
 async def _arrange(world: AnswerWorld, situation: Situation) -> None:
     if situation.is_owner_known:
-        await world.asked.owners.refresh()
+        await world.receiving.owners.refresh()
     dispatcher = world.owner.dispatcher
     assert dispatcher is not None
-    if situation.is_on_record:
+    if situation.is_stored:
         reply = await dispatcher.job_request_handler.submit(job_id=JOB, queue=QUEUE, spec=TWO_STEPS)
         assert reply.code.http_status == 200, reply
         await until(lambda: JOB in dispatcher.jobs_by_id, "the job is accepted")
     if situation.earlier:
-        world.store.slow_s = SLOW_S
+        world.store.slow_s = STORE_DELAY_S
 
 
 class _Check:
@@ -318,7 +318,7 @@
     def _keys(self) -> list[str]:
         return sorted({caller.request.record for caller in self._callers} - {""})
 
-    async def look_at(self, caller: Caller) -> None:
+    async def check_answer(self, caller: Caller) -> None:
         """Wait for an answer, and look whether it is true."""
         await caller.read()
         key = caller.request.record
@@ -327,7 +327,7 @@
         if caller.status == 410 and self._was_accepted:
             caller.problems.append("told that no such job exists, and it was accepted before")
 
-    def look_at_refusals(self, when: str) -> None:
+    def check_refusals(self, when: str) -> None:
         """Look for changes that are on record although everybody who asked for them was refused.
 
         Who wasn't even read is taken for refused. Of two callers with one job one may be refused
@@ -335,37 +335,41 @@
         """
         for key in self._keys():
             asking = [caller for caller in self._callers if caller.request.record == key]
-            refused = [one for one in asking if one.status in REFUSED or not one.was_read]
+            refused = [
+                caller
+                for caller in asking
+                if caller.status in REFUSAL_STATUSES or not caller.was_read
+            ]
             if key in self._before or self._world.record(key) is None or refused != asking:
                 continue
-            told = f"refused with {refused[0].code}" if refused[0].was_read else "not read"
-            refused[0].problems.append(f"{told}, and on record {when}")
+            reply = f"refused with {refused[0].code}" if refused[0].was_read else "not read"
+            refused[0].problems.append(f"{reply}, and on record {when}")
 
 
-async def play_each_point(
-    *, request: str, situation: str, side: str, trouble: str, places: asyncio.Semaphore
+async def run_at_each_point(
+    *, request: str, situation: str, side: str, fault: str, semaphore: asyncio.Semaphore
 ) -> list[Outcome]:
     """Play a request once for each point of its way on one side, until it ends before the next.
 
     :param places: bounds how many cases are played at once.
     """
-    played: list[Outcome] = []
+    outcomes: list[Outcome] = []
     for point in range(1, MAX_POINTS + 1):
-        case = Case(request, situation, (Hit(side, point, trouble),))
-        played.append(await play_in(places, case))
-        if not played[-1].hits:
-            return played
+        case = Case(request, situation, (Hit(side, point, fault),))
+        outcomes.append(await run_limited(semaphore, case))
+        if not outcomes[-1].hits:
+            return outcomes
     raise AssertionError(f"{case} has more than {MAX_POINTS} points")
 
 
-async def play_in(places: asyncio.Semaphore, case: Case) -> Outcome:
+async def run_limited(semaphore: asyncio.Semaphore, case: Case) -> Outcome:
     """Play a case when there is a place for it."""
-    async with places:
+    async with semaphore:
         # In a task of its own, as what a world starts belongs to its context.
-        return await asyncio.ensure_future(play(case))
+        return await asyncio.ensure_future(run_case(case))
 
 
-def stopping_cases(*, rows: Sequence[tuple[str, str]], turns: int) -> list[Case]:
+def front_stop_cases(*, rows: Sequence[tuple[str, str]], turns: int) -> list[Case]:
     """Cases in which the front is stopped in each turn of the event loop after the sending.
 
     :param rows: requests with their situations.
@@ -378,17 +382,17 @@
 
     :param rows: requests with their situations.
     """
-    drawn = random.Random(seed)
-    troubles = [*THROWN, *TROUBLES]
+    rng = random.Random(seed)
+    faults = [*THROWN, *FAULTS]
     cases = []
     for _ in range(count):
         hits = [
             Hit(
-                drawn.choice(("asked", "owning")),
-                drawn.randint(1, DRAWN_POINTS),
-                drawn.choice(troubles),
+                rng.choice(("receiving", "owning")),
+                rng.randint(1, MAX_DRAWN_POINT),
+                rng.choice(faults),
             )
-            for _ in range(drawn.randint(2, MAX_HITS))
+            for _ in range(rng.randint(2, MAX_HITS))
         ]
-        cases.append(Case(*drawn.choice(rows), tuple(hits)))
+        cases.append(Case(*rng.choice(rows), tuple(hits)))
     return cases
--- a/features/support/answer_daemons.py
+++ b/features/support/answer_daemons.py
@@ -41,14 +41,14 @@
     def __init__(self) -> None:
         self._taken: set[int] = set()
 
-    def take(self) -> int:
+    def acquire(self) -> int:
         """Take a port that no other world has."""
         while (port := free_ports(1)[0]) in self._taken:
             pass
         self._taken.add(port)
         return port
 
-    def give_back(self, port: int) -> None:
+    def release(self, port: int) -> None:
         """Let other worlds have a port."""
         self._taken.discard(port)
 
@@ -70,9 +70,9 @@
         self.holds_calls = self.holds_answers = False
         self._opened.set()
 
-    async def pass_by(self, held: bool) -> None:
+    async def wait_if(self, is_held: bool) -> None:
         """Wait if held."""
-        if held:
+        if is_held:
             await self._opened.wait()
 
 
@@ -84,18 +84,18 @@
         self._gate = gate
 
     async def _do(self, work: Callable[[], Any], partition: Any = None) -> Any:
-        carried = asyncio.ensure_future(self._carry(work, partition))
-        await asyncio.wait([carried], timeout=TIMEOUT_S)
-        if carried.done():
-            return carried.result()
+        work_task = asyncio.ensure_future(self._do_gated(work, partition))
+        await asyncio.wait([work_task], timeout=TIMEOUT_S)
+        if work_task.done():
+            return work_task.result()
         return NoAnswer(sent=True, detail="the store is silent")
 
-    async def _carry(self, work: Callable[[], Any], partition: Any) -> Any:
+    async def _do_gated(self, work: Callable[[], Any], partition: Any) -> Any:
         self._gate.under_way += 1
         try:
-            await self._gate.pass_by(self._gate.holds_calls)
+            await self._gate.wait_if(self._gate.holds_calls)
             outcome = await super()._do(work, partition)
-            await self._gate.pass_by(self._gate.holds_answers)
+            await self._gate.wait_if(self._gate.holds_answers)
         finally:
             self._gate.under_way -= 1
         return outcome
@@ -136,7 +136,7 @@
     """
 
     def __init__(self, *, name: str, store: FakeStore, gate: Gate) -> None:
-        self.port, self.front_port = _ports.take(), _ports.take()
+        self.port, self.front_port = _ports.acquire(), _ports.acquire()
         self.address = f"127.0.0.1:{self.port}"
         self.clock = Clock()
         self.events = EventLog(host=name, clock=self.clock)
@@ -165,13 +165,13 @@
         self.released = asyncio.Event()
         self.server.handle("held", self._hold)
         self.front = Front(gateway=self.gateway, ready=lambda: True, events=self.events)
-        self.owning: asyncio.Task[None] | None = None
+        self.membership: asyncio.Task[None] | None = None
         self._stopping: asyncio.Task[None] | None = None
 
-    def own(self) -> None:
+    def join_owners(self) -> None:
         """Take part in the group of owners."""
-        if self.owning is None:
-            self.owning = asyncio.ensure_future(self.owners.run())
+        if self.membership is None:
+            self.membership = asyncio.ensure_future(self.owners.run())
 
     @property
     def dispatcher(self) -> Dispatcher | None:
@@ -182,12 +182,12 @@
     async def close(self) -> None:
         """End all parts."""
         self.released.set()
-        if self.owning is not None:
+        if self.membership is not None:
             await self.owners.leave()
-            await asyncio.wait([self.owning])
+            await asyncio.wait([self.membership])
         await self.stop_server()
         for port in (self.port, self.front_port):
-            _ports.give_back(port)
+            _ports.release(port)
 
     async def stop_server(self) -> None:
         """Stop answering calls, once as a daemon does that leaves."""
@@ -204,13 +204,13 @@
     def _make(self, shard: int, epoch: int) -> Any:
         if shard == FLEET_SHARD:
             return IdleShard()
-        nobody: Any = SimpleNamespace()
+        unused: Any = SimpleNamespace()
         dispatcher = Dispatcher(
             shard=shard,
             epoch=epoch,
             store=self._store,
-            executors=nobody,
-            advice=nobody,
+            executors=unused,
+            advice=unused,
             clock=self.clock,
             events=self.events,
             bounds=Bounds(),
--- a/features/support/answer_worlds.py
+++ b/features/support/answer_worlds.py
@@ -15,18 +15,18 @@
 from .answer_daemons import SHARD, SHARDS, Daemon, Gate, WatchedServer
 from .suspensions import Suspensions
 
-HELD_CALL_S = 0.05
+HELD_CALL_TIMEOUT_S = 0.05
 # What a daemon that leaves in good order has for the answers that it owes.
-STOP_S = 5.0
-PAUSE_S = 0.01
+STOP_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.01
 # Nothing here takes longer than a few calls' times, 1.5 s each, even on a busy machine.
-REST_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 # The world that whatever runs belongs to.
 _world: contextvars.ContextVar["AnswerWorld | None"] = contextvars.ContextVar("world", default=None)
 
 
-def keep_tasks(loop: asyncio.AbstractEventLoop, coroutine: Any, **options: Any) -> Any:
+def track_tasks(loop: asyncio.AbstractEventLoop, coroutine: Any, **options: Any) -> Any:
     """Make a task, and keep it with the world that it belongs to; a loop's task factory."""
     task = asyncio.Task(coroutine, loop=loop, **options)
     context = options.get("context")
@@ -36,26 +36,28 @@
     return task
 
 
-def channels_kept() -> Any:
+def track_channels() -> Any:
     """A context in which each world keeps the channels that its daemons open."""
     insecure_channel = grpc.aio.insecure_channel
 
-    def keep(*args: Any, **kwargs: Any) -> grpc.aio.Channel:
+    def track(*args: Any, **kwargs: Any) -> grpc.aio.Channel:
         channel = insecure_channel(*args, **kwargs)
         world = _world.get()
         assert world is not None
         world.channels.append(channel)
         return channel
 
-    return patch.object(grpc.aio, "insecure_channel", keep)
+    return patch.object(grpc.aio, "insecure_channel", track)
 
 
-async def until(met: Callable[[], Any], what: str) -> None:
+async def until(condition: Callable[[], Any], description: str) -> None:
     """Wait until something is so."""
-    end = asyncio.get_running_loop().time() + REST_S
-    while not met():
-        assert asyncio.get_running_loop().time() < end, f"not within {REST_S} s: {what}"
-        await asyncio.sleep(PAUSE_S)
+    end = asyncio.get_running_loop().time() + WAIT_TIMEOUT_S
+    while not condition():
+        assert (
+            asyncio.get_running_loop().time() < end
+        ), f"not within {WAIT_TIMEOUT_S} s: {description}"
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 class AnswerWorld:
@@ -72,7 +74,7 @@
         self.other = Daemon(name="e2", store=self.store, gate=self.gate)
         self.handling = 0
         self.handled = 0
-        self.asked = self.other
+        self.receiving = self.other
         self._background: list[asyncio.Task[Any]] = []
 
     @property
@@ -88,15 +90,15 @@
         :param handler: counts the points of the owner's handling of other daemons' calls.
         """
         if at_owner:
-            self.asked = self.owner
+            self.receiving = self.owner
         watched_server: Any = WatchedServer(server=self.owner.server, suspensions=handler)
         self.owner.gateway.serve(watched_server)
         self.other.gateway.serve(self.other.server)
         for daemon in (self.owner, self.other):
             await daemon.server.start(daemon.address)
-        self.owner.own()
+        self.owner.join_owners()
         await until(lambda: self.owner.dispatcher, "the owner has its shard")
-        watched = front.watch(self.asked.front.jobs)
+        watched = front.watch(self.receiving.front.jobs)
 
         async def answer(request: Any) -> Any:
             self.handling += 1
@@ -105,7 +107,7 @@
             finally:
                 self.handled += 1
 
-        self.asked.front.listen(f"127.0.0.1:{self.asked.front_port}", answer)
+        self.receiving.front.listen(f"127.0.0.1:{self.receiving.front_port}", answer)
 
     def record(self, key: str) -> bytes | None:
         """The newest record of a key that the store has."""
@@ -120,14 +122,14 @@
 
     def _is_settled(self) -> bool:
         dispatchers = [*self.owner.dispatchers, *self.other.dispatchers]
-        return all(one.log.durable or one.log.fenced for one in dispatchers)
+        return all(dispatcher.log.durable or dispatcher.log.fenced for dispatcher in dispatchers)
 
     async def close(self) -> list[str]:
         """End all parts.
 
         :return: what is left open after that.
         """
-        await self.asked.front.stop(timeout_s=STOP_S)
+        await self.receiving.front.stop(timeout_s=STOP_TIMEOUT_S)
         for channel in self.channels:
             await channel.close()
         for daemon in (self.other, self.owner):
@@ -137,26 +139,28 @@
         return await self._open_tasks()
 
     async def _open_tasks(self) -> list[str]:
-        end = asyncio.get_running_loop().time() + REST_S / 4
+        end = asyncio.get_running_loop().time() + WAIT_TIMEOUT_S / 4
         while True:
-            mine = asyncio.current_task()
-            left = [task for task in self.tasks if task is not mine and not task.done()]
+            current = asyncio.current_task()
+            left = [task for task in self.tasks if task is not current and not task.done()]
             if not left or asyncio.get_running_loop().time() > end:
                 return [repr(task.get_coro()) for task in left]
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     # What can happen to what a request waits for.
 
-    async def strike(self, trouble: Callable[["AnswerWorld"], Awaitable[None]]) -> None:
+    async def inject(self, fault: Callable[["AnswerWorld"], Awaitable[None]]) -> None:
         """Bring a trouble; one that fails to come is a fault of the test's, not of the handling."""
         try:
-            await trouble(self)
+            await fault(self)
         except Exception as exc:
             self.failures.append(f"the trouble itself failed: {exc!r}")
 
     async def end_another_call(self) -> None:
         """Another call to the owner over the same client isn't answered in time."""
-        call = self.other.peers.call(self.owner.address, "held", None, timeout_s=HELD_CALL_S)
+        call = self.other.peers.call(
+            self.owner.address, "held", None, timeout_s=HELD_CALL_TIMEOUT_S
+        )
         # The channel may have been closed for good by another trouble.
         with suppress(PeerUnreachable, grpc.aio.UsageError):
             await call
@@ -170,9 +174,9 @@
         """The owner gives its shards up, and nobody takes them."""
         await self.owner.owners.leave()
 
-    async def hand_shard_over(self) -> None:
+    async def move_shard(self) -> None:
         """The other daemon takes the shards that the owner gives up."""
-        self.other.own()
+        self.other.join_owners()
         await self.owner.owners.leave()
 
     async def end_ownership(self) -> None:
@@ -195,12 +199,12 @@
 
     async def stop_front(self) -> None:
         """The asked daemon stops its front, as when it leaves."""
-        self._stop_front(STOP_S)
+        self._stop_front(STOP_TIMEOUT_S)
 
     async def stop_front_at_once(self) -> None:
         """The asked daemon stops its front, and has no time left."""
         self._stop_front(0.0)
 
     def _stop_front(self, timeout_s: float) -> None:
-        stopping = asyncio.ensure_future(self.asked.front.stop(timeout_s=timeout_s))
+        stopping = asyncio.ensure_future(self.receiving.front.stop(timeout_s=timeout_s))
         self._background.append(stopping)
