--- a/features/answers.feature
+++ b/features/answers.feature
@@ -1,7 +1,7 @@
 Feature: Each request gets exactly one correct answer, whatever fails while it is handled
-  A caller asks one daemon, which asks the queue's owner, which asks the store. Each of them waits for something
-  that others share: a channel, an ownership, a record under way. Whatever ends one of these waits, the caller is
-  still told what became of its request, once, and a refusal or an acceptance that it is told is true.
+  A caller's request goes to one daemon, which calls the queue's owner, which calls the store. Each waits for a
+  resource that others share: a channel, an ownership, a record being written. Whatever ends such a wait, the caller
+  gets exactly one answer, and a refusal or an acceptance in it is correct.
 
   Background:
     Given callers' requests, each to one of two daemons
@@ -24,8 +24,8 @@
       | queue count      | the owner isn't known yet                         |
 
   Scenario Outline: The handling of a request fails or is cancelled where the <side> daemon waits
-    A caller's request was read whole; then a fault of ours, or a cancellation, hits its handling.
-    Callers used to see nothing until the connection ended, as the task that owed the answer had ended.
+    A caller's request was read completely; then an internal error or a cancellation ends its handling.
+    Callers used to get no answer until the connection ended, as the task that sends the answer had ended.
 
     When one of these faults occurs at each point where the <side> daemon waits
       | fault                                   |
@@ -43,8 +43,8 @@
       | owning    | new job, job cancellation, job query              |
 
   Scenario Outline: A shared resource is lost while the <side> daemon waits for it
-    A caller's request waits for a channel, or for an ownership, that other calls and records share. One of those
-    ends it: the wait is over without an outcome. The caller is told that, and doesn't wait for nothing.
+    A caller's request waits for a channel or an ownership that other calls and records share. If one of those ends
+    it, the wait ends without an outcome. The caller is told so and doesn't wait in vain.
 
     When one of these faults occurs at each point where the <side> daemon waits
       | fault                               |
@@ -62,8 +62,8 @@
       | owning    | new job, job cancellation, job query              |
 
   Scenario Outline: The store stops responding while the <side> daemon waits
-    The store takes no calls, or does what it is asked to and doesn't say so; both come to light late, after the
-    caller was answered. A job that was refused meanwhile isn't on record then either.
+    Calls reach the store late, or its answers are delayed, until after the caller was answered. A job that was
+    refused in the meantime must not be stored later.
 
     When one of these faults occurs at each point where the <side> daemon waits
       | fault                              |
@@ -78,8 +78,8 @@
       | owning    | new job, job cancellation, job query              |
 
   Scenario Outline: A daemon shuts down while the <side> daemon waits
-    The owner stops answering calls, or the asked daemon ends its connections, as processes do that were told to
-    stop. What was read whole is answered before; what isn't read any more is owed nothing.
+    The owner stops answering calls, or the receiving daemon closes its connections, as stopping processes do.
+    A request that was read completely is answered first; a request that wasn't read gets no answer.
 
     When one of these faults occurs at each point where the <side> daemon waits
       | fault                        |
@@ -96,16 +96,16 @@
 
   Scenario: The receiving daemon's front stops while a request arrives
     A caller sends a request on an open connection as its daemon stops reading. Either the connection ends and nothing
-    has been done, or the request is read and answered; its bytes may lie in the daemon for some turns of its event
-    loop before that shows.
+    has been done, or the request is read and answered; its bytes may be buffered in the daemon for some turns of its
+    event loop before that can be seen.
 
     When the receiving daemon's front stops in each of the 16 turns after a request is sent
     Then each request gets exactly one correct answer, and nothing is left open
     And some of the requests were read, and some were not
 
   Scenario: Several faults occur while one request is handled
-    A daemon that leaves, a store that is silent and a fault of ours may hit the same request one after another,
-    on both daemons. The second hits what has been done about the first: a repeated call, a fallback.
+    A daemon that shuts down, a store that doesn't respond and an internal error may hit the same request one after
+    another, on both daemons. The second fault hits the reaction to the first: a repeated call, a fallback.
 
     When several of all these faults occur at points drawn with seed 7, in 100 cases
     Then each request gets exactly one correct answer, and nothing is left open
--- a/features/steps/answers_steps.py
+++ b/features/steps/answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the one answer to each request, whatever happens at any point of its way."""
+"""Steps for the answers to requests whose handling is hit by faults."""
 
 import asyncio
 import os
@@ -13,11 +13,11 @@
 )
 from features.support.answer_worlds import track_channels, track_tasks
 
-# Worlds played at once; a world mostly waits.
+# Cases that run concurrently; a case mostly waits.
 MAX_CONCURRENT_CASES = 40
 LONG = os.environ.get("MUSTARDGAP_LONG") == "1"
 LONG_FACTOR = 40
-# Drawn points may lie behind the request's end; one case in so many has at least two that don't.
+# A drawn point may come after the request's end; at least one case in so many is hit twice.
 CASES_PER_MULTI_HIT = 5
 
 
--- a/features/support/answer_cases.py
+++ b/features/support/answer_cases.py
@@ -1,4 +1,4 @@
-"""Requests that are troubled at one point of their way, and what is wrong with their answers."""
+"""Runs requests with faults at points of their handling, and checks their answers."""
 
 import asyncio
 import random
@@ -21,17 +21,17 @@
 
 JOB = "00000000000000a1"
 BODY = b'{"spec":"p","steps":[{"count":1,"cpu":1000,"memMb":500,"estimateMs":500}]}'
-# Shorter than what a job request handler waits for the store, so that a change isn't put to a
-# silent one twice.
+# Shorter than a job request handler waits for the store, so that a change isn't sent twice to a
+# store that doesn't respond.
 DEADLINE_MS = 1000
-# A request is unanswered once its handling has been over for so long, or the caller has waited for
-# several times as long as all calls of its handling take together.
+# A request counts as unanswered this long after its handling has ended, or once the caller has
+# waited several times as long as all calls of its handling take together.
 ANSWER_DELAY_S = 2.0
 ANSWER_TIMEOUT_S = 15.0
-# While another request's record is on its way to the store.
+# Delays the store while another request's record is being written.
 STORE_DELAY_S = 0.1
 MAX_POINTS = 60
-# Of drawn cases: how often one is hit, and up to which point; few ways have more.
+# Limits of drawn cases: hits per case, and the highest point; few requests have more points.
 MAX_HITS = 3
 MAX_DRAWN_POINT = 3
 REFUSAL_STATUSES = (429, 503)
@@ -39,7 +39,7 @@
 
 
 class Request(NamedTuple):
-    """What a caller sends, and the record that tells whether a change was made."""
+    """What a caller sends, and the key of the record that shows whether a change was made."""
 
     method: str
     path: str
@@ -56,12 +56,12 @@
 
 
 class Situation(NamedTuple):
-    """How things stand when a request comes.
+    """The state of the daemons and the store when a request arrives.
 
-    :param at_owner: whether the asked daemon owns the queue itself.
-    :param is_owner_known: whether the asked daemon knows the queue's owner.
-    :param is_on_record: whether the job has been accepted.
-    :param earlier: requests that were sent just before, and are being handled.
+    :param at_owner: whether the receiving daemon owns the queue itself.
+    :param is_owner_known: whether the receiving daemon knows the queue's owner.
+    :param is_stored: whether the job has been accepted.
+    :param earlier: requests that were sent just before and are still being handled.
     """
 
     at_owner: bool = False
@@ -83,7 +83,7 @@
 
 
 def _internal_error() -> BaseException:
-    return ValueError("a fault of ours")
+    return ValueError("an internal error")
 
 
 THROWN: dict[str, Meddle] = {
@@ -108,9 +108,9 @@
 
 
 class Hit(NamedTuple):
-    """A trouble, by its name, at a point of the way of a case's requests.
+    """A fault, by its name, at a point of the handling of a case's requests.
 
-    :param side: whose points are counted, "receiving" or "owning".
+    :param side: the daemon whose points are counted, "receiving" or "owning".
     :param point: the point's number, from 1.
     """
 
@@ -120,7 +120,7 @@
 
 
 class Case(NamedTuple):
-    """A request in a situation, by their names, and what hits its handling.
+    """A request in a situation, by their names, and the faults that hit its handling.
 
     ``stopped_after`` counts turns of the event loop from the request's sending until the front is
     stopped, None if it isn't.
@@ -133,11 +133,11 @@
 
 
 class Outcome(NamedTuple):
-    """What one played case showed.
+    """The result of one case.
 
     :param hits: how many of the case's hits met a point.
     :param was_read: whether the request was read.
-    :param told: what the caller of the request was told.
+    :param reply: the status and code that the caller received.
     :param problems: what is wrong.
     """
 
@@ -163,7 +163,7 @@
         self.status = 0
         self.code = ""
         self.problems: list[str] = []
-        # A request that wasn't read, as its connection was ended before, is owed nothing.
+        # A request whose connection was closed before it was read needs no answer.
         self.was_read = False
         self._world = world
         self._before = 0
@@ -172,12 +172,12 @@
         self._reading: asyncio.Task[None]
 
     async def connect(self) -> None:
-        """Connect to the asked daemon."""
+        """Connect to the receiving daemon."""
         port = self._world.receiving.front_port
         self._reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
 
     def send(self) -> None:
-        """Send the request, and begin to read."""
+        """Send the request, and start to read the answer."""
         self._before = self._world.handling
         lines = [
             f"{self.request.method} {self.request.path} HTTP/1.1",
@@ -194,7 +194,7 @@
             lambda: self._world.handling > self._before or self._reading.done(),
             "the request has been read",
         )
-        # A handling that is cancelled before its first step shows by its answer only.
+        # A handling that is cancelled before its first step can be seen only by its answer.
         self.was_read = self._world.handling > self._before or self.status > 0
 
     async def read(self) -> None:
@@ -211,7 +211,7 @@
             self.problems.append(f"answered {self.status} {self.code or 'without a code'}")
 
     async def read_end(self) -> None:
-        """Read what comes until the connection ends."""
+        """Read until the connection ends; nothing more may arrive."""
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 rest = await self._reader.read()
@@ -244,7 +244,7 @@
 
 
 async def run_case(case: Case) -> Outcome:
-    """Play one case."""
+    """Run one case."""
     situation = SITUATIONS[case.situation]
     world = AnswerWorld()
     front, handler = (_suspensions(world, case, side) for side in ("receiving", "owning"))
@@ -304,7 +304,7 @@
 
 
 class _Check:
-    """Holds what callers were told against the store's records.
+    """Compares the answers that callers got with the store's records.
 
     :param was_accepted: whether the job had been accepted before.
     """
@@ -319,19 +319,19 @@
         return sorted({caller.request.record for caller in self._callers} - {""})
 
     async def check_answer(self, caller: Caller) -> None:
-        """Wait for an answer, and look whether it is true."""
+        """Wait for an answer, and check that it is correct."""
         await caller.read()
         key = caller.request.record
         if caller.status == 200 and key and self._world.record(key) is None:
-            caller.problems.append(f"told {caller.code}, and it isn't on record")
+            caller.problems.append(f"told {caller.code}, and it isn't stored")
         if caller.status == 410 and self._was_accepted:
             caller.problems.append("told that no such job exists, and it was accepted before")
 
     def check_refusals(self, when: str) -> None:
-        """Look for changes that are on record although everybody who asked for them was refused.
+        """Find changes that are stored although all callers that requested them were refused.
 
-        Who wasn't even read is taken for refused. Of two callers with one job one may be refused
-        and the other not: the record is the other's.
+        A caller whose request wasn't read counts as refused. Of two callers with the same job one
+        may be refused and the other not; the record then belongs to the other.
         """
         for key in self._keys():
             asking = [caller for caller in self._callers if caller.request.record == key]
@@ -343,15 +343,15 @@
             if key in self._before or self._world.record(key) is None or refused != asking:
                 continue
             reply = f"refused with {refused[0].code}" if refused[0].was_read else "not read"
-            refused[0].problems.append(f"{reply}, and on record {when}")
+            refused[0].problems.append(f"{reply}, and stored {when}")
 
 
 async def run_at_each_point(
     *, request: str, situation: str, side: str, fault: str, semaphore: asyncio.Semaphore
 ) -> list[Outcome]:
-    """Play a request once for each point of its way on one side, until it ends before the next.
+    """Run a request once for each point of its handling on one side, until no point is left.
 
-    :param places: bounds how many cases are played at once.
+    :param semaphore: limits how many cases run concurrently.
     """
     outcomes: list[Outcome] = []
     for point in range(1, MAX_POINTS + 1):
@@ -363,14 +363,14 @@
 
 
 async def run_limited(semaphore: asyncio.Semaphore, case: Case) -> Outcome:
-    """Play a case when there is a place for it."""
+    """Run a case once the semaphore admits it."""
     async with semaphore:
-        # In a task of its own, as what a world starts belongs to its context.
+        # In a task of its own, as the tasks that a world starts belong to its context.
         return await asyncio.ensure_future(run_case(case))
 
 
 def front_stop_cases(*, rows: Sequence[tuple[str, str]], turns: int) -> list[Case]:
-    """Cases in which the front is stopped in each turn of the event loop after the sending.
+    """Make cases in which the front stops in each event loop turn after the request is sent.
 
     :param rows: requests with their situations.
     """
--- a/features/support/answer_daemons.py
+++ b/features/support/answer_daemons.py
@@ -1,4 +1,4 @@
-"""One daemon's parts on a request's way, as they are, with a store that can be held."""
+"""The real parts of a daemon that handle requests, with a store whose calls can be held."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -32,24 +32,24 @@
 
 
 class _Ports:
-    """Ports of the worlds that are being played.
+    """Ports of the worlds that are running.
 
-    A port that is handed out in turn comes around again while a long case still asks there for an
-    owner that has ended: the owner of another world would answer.
+    If ports were reused in turn, a long case could still call an ended owner at a port that
+    another world has by then, and that world's owner would answer.
     """
 
     def __init__(self) -> None:
         self._taken: set[int] = set()
 
     def acquire(self) -> int:
-        """Take a port that no other world has."""
+        """Acquire a port that no other world has."""
         while (port := free_ports(1)[0]) in self._taken:
             pass
         self._taken.add(port)
         return port
 
     def release(self, port: int) -> None:
-        """Let other worlds have a port."""
+        """Make a port available to other worlds."""
         self._taken.discard(port)
 
 
@@ -57,7 +57,7 @@
 
 
 class Gate:
-    """Holds calls of the store, on their way to it or on their way back."""
+    """Holds calls to the store, before they reach it or before their answers return."""
 
     def __init__(self) -> None:
         self.holds_calls = False
@@ -66,18 +66,18 @@
         self._opened = asyncio.Event()
 
     def open(self) -> None:
-        """Let all go on; what was held arrives late."""
+        """Let all held calls and answers continue, late."""
         self.holds_calls = self.holds_answers = False
         self._opened.set()
 
     async def wait_if(self, is_held: bool) -> None:
-        """Wait if held."""
+        """Wait until the gate opens if a call is held."""
         if is_held:
             await self._opened.wait()
 
 
 class GatedPort(StorePort):
-    """A host's way to the store, on which a call that was sent arrives whoever stops waiting."""
+    """A host's port to the store; a sent call arrives even if its caller stops waiting."""
 
     def __init__(self, *, store: FakeStore, host: str, gate: Gate) -> None:
         super().__init__(store=store, host=host)
@@ -88,7 +88,7 @@
         await asyncio.wait([work_task], timeout=TIMEOUT_S)
         if work_task.done():
             return work_task.result()
-        return NoAnswer(sent=True, detail="the store is silent")
+        return NoAnswer(sent=True, detail="the store doesn't respond")
 
     async def _do_gated(self, work: Callable[[], Any], partition: Any) -> Any:
         self._gate.under_way += 1
@@ -102,7 +102,7 @@
 
 
 class IdleShard:
-    """What owns the fleet's shard, which no caller asks for."""
+    """An idle owner for the fleet's shard, which no request concerns."""
 
     def __init__(self) -> None:
         self.ended = asyncio.Event()
@@ -112,11 +112,11 @@
         await self.ended.wait()
 
     async def hand_over(self) -> None:
-        """Nothing is left to do."""
+        """Do nothing, as there is nothing to hand over."""
 
 
 class WatchedServer:
-    """Hands a gateway's handlers on to a server, with their points counted."""
+    """Registers a gateway's handlers with a server, and counts their points."""
 
     def __init__(self, *, server: PeerServer, suspensions: Suspensions) -> None:
         self._server = server
@@ -128,9 +128,9 @@
 
 
 class Daemon:
-    """One daemon's parts as they are.
+    """The real parts of one daemon.
 
-    :param name: its host.
+    :param name: the name of its host.
     :param store: the shared store.
     :param gate: holds the store's calls.
     """
@@ -169,18 +169,18 @@
         self._stopping: asyncio.Task[None] | None = None
 
     def join_owners(self) -> None:
-        """Take part in the group of owners."""
+        """Join the group of owners."""
         if self.membership is None:
             self.membership = asyncio.ensure_future(self.owners.run())
 
     @property
     def dispatcher(self) -> Dispatcher | None:
-        """What owns the queue's shard here, None unless it is loaded."""
+        """The dispatcher of the queue's shard on this daemon, None unless it is loaded."""
         owned = self.owners.owned_by_shard.get(SHARD)
         return owned if isinstance(owned, Dispatcher) and owned.loaded else None
 
     async def close(self) -> None:
-        """End all parts."""
+        """Stop all parts."""
         self.released.set()
         if self.membership is not None:
             await self.owners.leave()
@@ -190,7 +190,7 @@
             _ports.release(port)
 
     async def stop_server(self) -> None:
-        """Stop answering calls, once as a daemon does that leaves."""
+        """Stop answering calls, as a daemon does when it shuts down; only the first call stops."""
         if self._stopping is None:
             self._stopping = asyncio.ensure_future(self.server.stop())
         await asyncio.wait([self._stopping])
--- a/features/support/answer_worlds.py
+++ b/features/support/answer_worlds.py
@@ -1,4 +1,4 @@
-"""Two daemons' way of a caller's request in one process: HTTP, gRPC and the shard's owner."""
+"""Two daemons in one process that handle callers' requests: HTTP, gRPC and the shard's owner."""
 
 import asyncio
 import contextvars
@@ -16,18 +16,18 @@
 from .suspensions import Suspensions
 
 HELD_CALL_TIMEOUT_S = 0.05
-# What a daemon that leaves in good order has for the answers that it owes.
+# Time that a daemon has for pending answers when it shuts down gracefully.
 STOP_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.01
-# Nothing here takes longer than a few calls' times, 1.5 s each, even on a busy machine.
+# Nothing here takes longer than a few calls of 1.5 s each, even on a busy machine.
 WAIT_TIMEOUT_S = 20.0
 
-# The world that whatever runs belongs to.
+# The world that the running task belongs to.
 _world: contextvars.ContextVar["AnswerWorld | None"] = contextvars.ContextVar("world", default=None)
 
 
 def track_tasks(loop: asyncio.AbstractEventLoop, coroutine: Any, **options: Any) -> Any:
-    """Make a task, and keep it with the world that it belongs to; a loop's task factory."""
+    """Create a task and add it to the world that it belongs to; a loop's task factory."""
     task = asyncio.Task(coroutine, loop=loop, **options)
     context = options.get("context")
     world = context.get(_world) if context else _world.get()
@@ -37,7 +37,7 @@
 
 
 def track_channels() -> Any:
-    """A context in which each world keeps the channels that its daemons open."""
+    """Return a context in which each world records the channels that its daemons open."""
     insecure_channel = grpc.aio.insecure_channel
 
     def track(*args: Any, **kwargs: Any) -> grpc.aio.Channel:
@@ -51,7 +51,7 @@
 
 
 async def until(condition: Callable[[], Any], description: str) -> None:
-    """Wait until something is so."""
+    """Wait until a condition is met."""
     end = asyncio.get_running_loop().time() + WAIT_TIMEOUT_S
     while not condition():
         assert (
@@ -61,7 +61,7 @@
 
 
 class AnswerWorld:
-    """The owner of a queue, and another daemon, with what can happen to them."""
+    """The owner of a queue and another daemon, with the faults that can hit them."""
 
     def __init__(self) -> None:
         _world.set(self)
@@ -83,10 +83,10 @@
         return self.handled == self.handling
 
     async def start(self, *, at_owner: bool, front: Suspensions, handler: Suspensions) -> None:
-        """Start all parts; the owner has its shard then.
+        """Start all parts, and wait until the owner has its shard.
 
-        :param at_owner: whether callers ask the owner itself.
-        :param front: counts the points of the asked daemon's handling of HTTP requests.
+        :param at_owner: whether callers send their requests to the owner itself.
+        :param front: counts the points of the receiving daemon's handling of HTTP requests.
         :param handler: counts the points of the owner's handling of other daemons' calls.
         """
         if at_owner:
@@ -110,24 +110,24 @@
         self.receiving.front.listen(f"127.0.0.1:{self.receiving.front_port}", answer)
 
     def record(self, key: str) -> bytes | None:
-        """The newest record of a key that the store has."""
+        """Return the newest record of a key in the store."""
         return self.store.shards[SHARD].values_by_key.get(key)
 
     async def settle(self) -> None:
-        """Let all that was held go on, and wait until owners have written what waits."""
+        """Release all that was held, and wait until owners have written their pending records."""
         self.gate.open()
         for daemon in (self.owner, self.other):
             daemon.released.set()
-        await until(self._is_settled, "all is written that is going to be")
+        await until(self._is_settled, "all pending records are written")
 
     def _is_settled(self) -> bool:
         dispatchers = [*self.owner.dispatchers, *self.other.dispatchers]
         return all(dispatcher.log.durable or dispatcher.log.fenced for dispatcher in dispatchers)
 
     async def close(self) -> list[str]:
-        """End all parts.
+        """Stop all parts.
 
-        :return: what is left open after that.
+        :return: the tasks that are left open after that.
         """
         await self.receiving.front.stop(timeout_s=STOP_TIMEOUT_S)
         for channel in self.channels:
@@ -147,62 +147,62 @@
                 return [repr(task.get_coro()) for task in left]
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    # What can happen to what a request waits for.
+    # Faults of the resources that a request waits for.
 
     async def inject(self, fault: Callable[["AnswerWorld"], Awaitable[None]]) -> None:
-        """Bring a trouble; one that fails to come is a fault of the test's, not of the handling."""
+        """Inject a fault; if that fails, the test is at fault, not the handling."""
         try:
             await fault(self)
         except Exception as exc:
-            self.failures.append(f"the trouble itself failed: {exc!r}")
+            self.failures.append(f"the fault could not be injected: {exc!r}")
 
     async def end_another_call(self) -> None:
-        """Another call to the owner over the same client isn't answered in time."""
+        """Let another call to the owner over the same client time out."""
         call = self.other.peers.call(
             self.owner.address, "held", None, timeout_s=HELD_CALL_TIMEOUT_S
         )
-        # The channel may have been closed for good by another trouble.
+        # Another fault may have closed the channel for good.
         with suppress(PeerUnreachable, grpc.aio.UsageError):
             await call
 
     async def close_channels(self) -> None:
-        """The channels between daemons are closed under their calls."""
+        """Close the channels between the daemons during their calls."""
         for channel in self.channels:
             await channel.close()
 
     async def give_up_shard(self) -> None:
-        """The owner gives its shards up, and nobody takes them."""
+        """Let the owner give up its shards, with no other daemon to take them."""
         await self.owner.owners.leave()
 
     async def move_shard(self) -> None:
-        """The other daemon takes the shards that the owner gives up."""
+        """Let the other daemon take the shards that the owner gives up."""
         self.other.join_owners()
         await self.owner.owners.leave()
 
     async def end_ownership(self) -> None:
-        """A part of the ownership fails, and the ownership ends with it."""
+        """Let a part of the ownership fail, which ends the ownership."""
         dispatcher = self.owner.dispatcher
         if dispatcher is not None:
             dispatcher.step_down()
 
     async def hold_store(self) -> None:
-        """The store gets no calls any more."""
+        """Hold calls before they reach the store."""
         self.gate.holds_calls = True
 
     async def hold_store_answers(self) -> None:
-        """The store does what it is asked to, and its answers don't come."""
+        """Let the store carry out calls, but hold its answers."""
         self.gate.holds_answers = True
 
     async def stop_server(self) -> None:
-        """The owner's process stops answering calls, as when it leaves."""
+        """Stop answering calls at the owner, as when it shuts down."""
         await self.owner.stop_server()
 
     async def stop_front(self) -> None:
-        """The asked daemon stops its front, as when it leaves."""
+        """Stop the receiving daemon's front, as when it shuts down."""
         self._stop_front(STOP_TIMEOUT_S)
 
     async def stop_front_at_once(self) -> None:
-        """The asked daemon stops its front, and has no time left."""
+        """Stop the receiving daemon's front without time to answer requests."""
         self._stop_front(0.0)
 
     def _stop_front(self, timeout_s: float) -> None:
