--- a/mustardgap/exchanges.py
+++ b/mustardgap/exchanges.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its connection, from the first header to the end of its answer."""
+"""Handles one request of a caller, from its first header to the end of its answer."""
 
 import asyncio
 import socket
@@ -22,14 +22,14 @@
 from .upstreams import Request
 
 READY_PATH = "/-/ready"
-OWN_PATHS = "/-/"
-MAX_REQUEST_ID = 128
+BUILTIN_PATH_PREFIX = "/-/"
+MAX_REQUEST_ID_LENGTH = 128
 MAX_LENGTH_DIGITS = 18
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class Host(Protocol):
-    """The server that an exchange belongs to."""
+class Server(Protocol):
+    """The server that accepted the connection of an exchange."""
 
     settings: Settings
     sessions: Sessions
@@ -38,34 +38,34 @@
     held_bytes: int
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send requests here."""
+        """Tell whether the balancer should send requests to this server."""
 
     def refusal(self) -> NotRun | None:
-        """Why requests are refused now, None when they aren't."""
+        """Return why requests are refused now, None when they aren't."""
 
-    def begin(self, exchange: "Exchange") -> None:
-        """Note an exchange that has begun."""
+    def register(self, exchange: "Exchange") -> None:
+        """Add an exchange that has begun."""
 
-    def end(self, exchange: "Exchange") -> None:
-        """Forget an exchange that has ended."""
+    def unregister(self, exchange: "Exchange") -> None:
+        """Remove an exchange that has ended."""
 
 
 class Exchange(httputil.HTTPMessageDelegate):
     """One request of a caller and its answer.
 
-    :param host: the server.
+    :param server: the server that accepted the connection.
     :param connection: the connection, for the answer.
-    :param over_limit: whether the connection is one too many.
+    :param over_limit: whether the connection exceeds the limit of open connections.
     """
 
-    def __init__(self, *, host: Host, connection: HTTP1Connection, over_limit: bool) -> None:
-        self.host = host
+    def __init__(self, *, server: Server, connection: HTTP1Connection, over_limit: bool) -> None:
+        self.server = server
         self.request_id = uuid.uuid4().hex
         self.answered = False
-        self._is_cut = False
+        self._is_cut_off = False
         self._connection = connection
         self._over_limit = over_limit
-        self._line = httputil.RequestStartLine("", "", "")
+        self._start_line = httputil.RequestStartLine("", "", "")
         self._headers = httputil.HTTPHeaders()
         self._body: list[bytes] = []
         self._size = 0
@@ -78,12 +78,12 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Check the head; what is refused here is answered before its body is read."""
-        self.host.begin(self)
-        self._line = cast(httputil.RequestStartLine, start_line)
+        """Check the head; a request that is refused here is answered before its body is read."""
+        self.server.register(self)
+        self._start_line = cast(httputil.RequestStartLine, start_line)
         self._headers = headers
         ids = headers.get_list("X-Request-Id")
-        if len(ids) == 1 and 0 < len(ids[0]) <= MAX_REQUEST_ID and ids[0].isascii():
+        if len(ids) == 1 and 0 < len(ids[0]) <= MAX_REQUEST_ID_LENGTH and ids[0].isascii():
             self.request_id = ids[0]
         refusal = self._check_head()
         if refusal is not None:
@@ -91,136 +91,144 @@
 
     def _check_head(self) -> NotRun | None:
         try:
-            return self._check()
+            return self._head_refusal()
         except Exception as exc:
             # Tornado would close the connection without an answer.
-            self._note_end(exc)
+            self._record_failure(exc)
             return NotRun(code=status_codes.GIVEN_UP_BEFORE_RUN)
 
-    def _check(self) -> NotRun | None:
-        detail = _malformed(self._line, self._headers)
+    def _head_refusal(self) -> NotRun | None:
+        detail = _malformation(self._start_line, self._headers)
         if detail:
             metrics.malformed_requests.add(1, {"port": "callers"})
             return NotRun(code=status_codes.BAD_REQUEST, detail=detail)
         length = self._headers.get("Content-Length", "0")
-        # Python makes no number of thousands of digits, but raises an error.
+        # int() raises ValueError for a text of thousands of digits.
         if len(length) > MAX_LENGTH_DIGITS or int(length) > self._max_body_bytes():
             return self._too_large()
         if self._over_limit:
             detail = "too many connections"
             return NotRun(code=status_codes.OVER_BUDGET, detail=detail, retry_after=2.0)
-        if self._line.path.startswith(OWN_PATHS):
+        if self._start_line.path.startswith(BUILTIN_PATH_PREFIX):
             return None
-        return self.host.refusal()
+        return self.server.refusal()
 
     def _max_body_bytes(self) -> int:
-        return self.host.settings.callers.max_body_bytes
+        return self.server.settings.callers.max_body_bytes
 
     def _too_large(self) -> NotRun:
         detail = f"the body is larger than {self._max_body_bytes()} bytes"
         return NotRun(code=status_codes.TOO_LARGE, detail=detail)
 
     def _refuse(self, refusal: NotRun) -> None:
-        # The answer goes out now, but the connection is finished only when the rest of the
-        # request has been read, or at the time-out: closed with bytes unread, it would be reset,
-        # and the reset could overtake the answer.
+        # The answer is sent now, but the connection is closed only when the rest of the request
+        # has been read, or at the timeout: closing it with unread bytes would reset it, and the
+        # reset could reach the caller before the answer.
         self._drop_body()
-        timeout_s = self.host.settings.callers.header_timeout_s
+        timeout_s = self.server.settings.callers.header_timeout_s
         self._timer = asyncio.get_running_loop().call_later(timeout_s, self._connection.close)
         self._write(problems.answer(refusal, request_id=self.request_id), close=True)
         if self._headers.get("Expect") == "100-continue":
             self._connection.finish()
 
     def data_received(self, chunk: bytes) -> None:
-        """Hold a piece of the body, up to the limit."""
+        """Buffer a chunk of the body, up to the limit."""
         if self.answered:
             return
         self._body.append(chunk)
         self._size += len(chunk)
-        self.host.held_bytes += len(chunk)
+        self.server.held_bytes += len(chunk)
         if self._size > self._max_body_bytes():
             self._refuse(self._too_large())
-        elif self.host.held_bytes > self.host.settings.callers.max_held_bytes:
+        elif self.server.held_bytes > self.server.settings.callers.max_held_bytes:
             detail = "the requests being received are too large together"
             self._refuse(NotRun(code=status_codes.OVER_BUDGET, detail=detail, retry_after=2.0))
 
     def finish(self) -> None:
-        """The request is whole: run it."""
+        """Run the request, which has been read completely."""
         if self.answered:
             self._connection.finish()
             self._connection.close()
-            self._end()
+            self._release()
             return
         self._task = asyncio.create_task(self._run(), name=f"request:{self.request_id}")
-        self._task.add_done_callback(lambda _: self._end())
+        self._task.add_done_callback(lambda _: self._release())
 
     def on_connection_close(self) -> None:
-        """The caller went before its request was whole."""
-        self._end()
+        """Clean up after a caller that disconnected before its request was complete."""
+        self._release()
 
     def cut_off(self) -> None:
-        """End the handling, because this host closes its connections; what is owed is answered."""
-        self._is_cut = True
+        """End the handling as this server closes its connections; a missing answer is sent."""
+        self._is_cut_off = True
         if self._task is not None:
-            # Later than the task's first step: cancelled before it, the task would run no line of
-            # its code, and so give no answer.
+            # Cancelled after the task's first step: a task that is cancelled before it runs none
+            # of its code, and so would send no answer.
             asyncio.get_running_loop().call_soon(self._task.cancel)
         elif not self.answered:
             self._refuse(NotRun(code=status_codes.DRAINING))
 
-    def _end(self) -> None:
+    def _release(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._drop_body()
-        self.host.end(self)
+        self.server.unregister(self)
 
     def _drop_body(self) -> None:
         self._body.clear()
-        self.host.held_bytes -= self._size
+        self.server.held_bytes -= self._size
         self._size = 0
 
     async def _run(self) -> None:
-        self._connection.set_close_callback(self._hang_up)
+        self._connection.set_close_callback(self._on_caller_gone)
         try:
             await self._reply()
         except (Exception, asyncio.CancelledError) as exc:
-            await self._make_up_for(exc)
+            await self._answer_failure(exc)
 
     async def _reply(self) -> None:
-        if self._line.path.startswith(OWN_PATHS):
-            await self._send(self._own_answer())
+        if self._start_line.path.startswith(BUILTIN_PATH_PREFIX):
+            await self._send_answer(self._builtin_answer())
         else:
-            await self._answer(await self._handle())
+            await self._send_outcome(await self._handle())
 
-    async def _make_up_for(self, exc: BaseException) -> None:
-        """Give the answer that is still owed when the handling has ended without one.
+    async def _answer_failure(self, exc: BaseException) -> None:
+        """Send the missing answer when the handling has ended without one.
 
-        The cancellation of something that is only waited for, such as a call on a channel that was
-        closed, ends this task as an error does. The caller's connection would close without a byte,
-        and the caller couldn't tell whether its request may be sent again.
+        If something that this task awaits is cancelled, such as a call on a closed channel, this
+        task ends as with an error. The caller's connection would close without a byte, and the
+        caller couldn't tell whether its request may be sent again.
         """
         if self._connection.stream.closed():
-            # The caller has hung up, which cancels the handling, so there is nobody to answer.
+            # The caller has hung up, which cancels the handling; no answer can be sent.
             if not isinstance(exc, asyncio.CancelledError):
                 logging.error("request %s failed", self.request_id, exc_info=exc)
             self._connection.close()
             return
-        self._note_end(exc)
+        self._record_failure(exc)
         if self.answered:
             self._reset()
             return
-        code = status_codes.DRAINING if self._is_cut else status_codes.GIVEN_UP_BEFORE_RUN
-        outcome = self._given_up(code)
-        await self._send(problems.answer(outcome, request_id=self.request_id))
-
-    def _note_end(self, exc: BaseException) -> None:
-        end = unanswered.end_of(exc, stopping=self._is_cut)
-        self.host.timeline.add(
-            "request.unanswered", cause=end.cause, request=self.request_id, how=end.how.value
+        code = status_codes.DRAINING if self._is_cut_off else status_codes.GIVEN_UP_BEFORE_RUN
+        outcome = self._failure_outcome(code)
+        await self._send_answer(problems.answer(outcome, request_id=self.request_id))
+
+    def _record_failure(self, exc: BaseException) -> None:
+        failure = unanswered.record_failure(exc, stopping=self._is_cut_off)
+        self.server.timeline.add(
+            "request.unanswered",
+            cause=failure.cause,
+            request=self.request_id,
+            how=failure.how.value,
+        )
+        logging.error(
+            "request %s ended without an outcome (%s)",
+            self.request_id,
+            failure.how.value,
+            exc_info=exc,
         )
-        logging.error("no outcome of request %s (%s)", self.request_id, end.how.value, exc_info=exc)
 
-    def _given_up(self, refusal: Code) -> NotRun | Unknown:
+    def _failure_outcome(self, refusal: Code) -> NotRun | Unknown:
         if self._session is None:
             return NotRun(code=refusal)
         return self._session.give_up(refusal)
@@ -228,47 +236,47 @@
     async def _handle(self) -> Outcome:
         request = Request(
             request_id=self.request_id,
-            method=self._line.method,
-            target=_origin_form(self._line.path),
+            method=self._start_line.method,
+            target=_origin_form(self._start_line.path),
             headers=self._headers,
             body=b"".join(self._body),
         )
         self._body.clear()
-        self._session = self.host.sessions.open(request, self)
+        self._session = self.server.sessions.open(request, self)
         return await self._session.run()
 
-    def _hang_up(self) -> None:
+    def _on_caller_gone(self) -> None:
         if self._session is not None:
             self._session.hang_up()
 
-    def _own_answer(self) -> Answer:
+    def _builtin_answer(self) -> Answer:
         headers = [("Content-Type", "text/plain")]
-        if self._line.path != READY_PATH:
+        if self._start_line.path != READY_PATH:
             return Answer(404, headers, b"no such page\n")
-        if self.host.is_ready():
+        if self.server.is_ready():
             return Answer(200, headers, b"ready\n")
         return Answer(503, headers, b"not ready\n")
 
-    async def _answer(self, outcome: Outcome) -> None:
+    async def _send_outcome(self, outcome: Outcome) -> None:
         if isinstance(outcome, Streamed):
-            self._finish()
+            self._finish_answer()
         elif isinstance(outcome, BrokenOff):
             self._reset()
         else:
-            await self._send(problems.answer(outcome, request_id=self.request_id))
+            await self._send_answer(problems.answer(outcome, request_id=self.request_id))
 
-    async def _send(self, answer: Answer) -> None:
+    async def _send_answer(self, answer: Answer) -> None:
         try:
-            # A caller that takes no more of its answer would keep its connection and what it holds.
-            async with asyncio.timeout(self.host.settings.callers.idle_timeout_s):
-                await self._write(answer, close=self.host.draining)
+            # A caller that stops reading its answer would keep its connection and its buffers.
+            async with asyncio.timeout(self.server.settings.callers.idle_timeout_s):
+                await self._write(answer, close=self.server.draining)
         except (iostream.StreamClosedError, TimeoutError):
             self._connection.close()
             return
-        self._finish()
+        self._finish_answer()
 
-    def _finish(self) -> None:
-        closing = self._closing
+    def _finish_answer(self) -> None:
+        closing = self._closes_after_answer
         self._connection.finish()
         if closing:
             self._connection.close()
@@ -278,13 +286,13 @@
         names = {name.lower() for name, _ in headers}
         if "content-length" not in names and answer.status not in (204, 304):
             headers.append(("Content-Length", str(len(answer.body))))
-        body = None if self._line.method == "HEAD" else answer.body or None
+        body = None if self._start_line.method == "HEAD" else answer.body or None
         return self._write_head(answer.status, headers, body, close=close)
 
     def _write_head(
         self, status: int, pairs: list[tuple[str, str]], body: bytes | None, *, close: bool
     ) -> "asyncio.Future[None]":
-        self._closing = close
+        self._closes_after_answer = close
         headers = httputil.HTTPHeaders()
         for name, value in pairs:
             headers.add(name, value)
@@ -292,38 +300,38 @@
             headers["Connection"] = "close"
         line = httputil.ResponseStartLine("HTTP/1.1", status, responses.get(status, "Unknown"))
         written = self._connection.write_headers(line, headers, body)
-        # Only now: nothing has gone out of an answer that can't be written, so another one may.
+        # Set after the write: if it raises, nothing has been sent and another answer may follow.
         self.answered = True
         return written
 
     async def start(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Begin to pass on an answer that is too large to be held."""
+        """Begin to relay an answer that is too large to be buffered."""
         own = [
             ("X-Request-Id", self.request_id),
             ("X-Result-Code", str(status_codes.ANSWERED.number)),
         ]
-        await self._write_head(status, headers + own, None, close=self.host.draining)
+        await self._write_head(status, headers + own, None, close=self.server.draining)
 
     async def write(self, chunk: bytes) -> None:
-        """Pass on a piece and wait until the caller has taken it."""
+        """Relay a chunk and wait until it has been written to the caller."""
         await self._connection.write(chunk)
         if self._connection.stream.closed():
             raise iostream.StreamClosedError()
 
     def _reset(self) -> None:
-        # Part of an answer has gone out. An orderly close could be taken for its end, by a caller
-        # that reads until the connection closes; a reset can't.
+        # Part of an answer has been sent. A caller that reads until the connection closes could
+        # mistake an orderly close for the answer's end, but not a reset.
         sock = self._connection.stream.socket
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self._connection.close()
 
 
-def _malformed(line: httputil.RequestStartLine, headers: httputil.HTTPHeaders) -> str:
-    """What is wrong with a request's head, "" for nothing.
+def _malformation(line: httputil.RequestStartLine, headers: httputil.HTTPHeaders) -> str:
+    """Return what is wrong with a request's head, "" for nothing.
 
-    Two readings of where a request ends let one request be taken for two on the way (smuggling),
-    so whatever could be read in two ways is refused.
+    If two servers disagree on where a request ends, one request can pass as two (request
+    smuggling), so whatever is ambiguous is refused.
     """
     lengths = headers.get_list("Content-Length")
     codings = headers.get_list("Transfer-Encoding")
@@ -351,7 +359,7 @@
 
 
 def _origin_form(target: str) -> str:
-    """A target as a path with its query, also when it came as a whole URL (RFC 9112, 3.2.2)."""
+    """Return a target as a path with its query, also if it is an absolute URL (RFC 9112, 3.2.2)."""
     if not target.startswith("http"):
         return target
     parts = urlsplit(target)
--- a/mustardgap/open_requests.py
+++ b/mustardgap/open_requests.py
@@ -1,4 +1,4 @@
-"""Requests that were read whole and wait for their one answer."""
+"""Tracks requests that were read completely and wait for their answer."""
 
 import asyncio
 import traceback
@@ -9,100 +9,100 @@
 
 from . import unanswered
 from .events import EventLog
-from .unanswered import Ending
+from .unanswered import FailureKind
 
 AnswerT = TypeVar("AnswerT")
 
 
 class OpenRequest(NamedTuple, Generic[AnswerT]):
-    """One request, and what gives its answer.
+    """One request, with the functions that answer it.
 
-    ``method``, ``path`` and ``job``, the id of the job that it is about, are for the log.
-    ``fallback`` makes an answer that is true whatever the handling has done by then. ``send``
-    hands an answer to the caller's connection, and raises nothing.
+    ``method``, ``path`` and ``job``, the id of the job concerned, are for the log. ``fallback``
+    makes an answer that is correct whatever the handling has done by then. ``send`` writes an
+    answer to the caller's connection and never raises.
     """
 
     method: str
     path: str
     job: str | None
     handle: Callable[[], Coroutine[Any, Any, AnswerT]]
-    fallback: Callable[[Ending], AnswerT]
+    fallback: Callable[[FailureKind], AnswerT]
     send: Callable[[AnswerT], None]
 
 
-class _Waiting(NamedTuple):
-    """A request without an answer, and the steady time since when it waits."""
+class _PendingRequest(NamedTuple):
+    """A request without an answer, and the monotonic time at which it began."""
 
     request: OpenRequest[Any]
-    began: float
+    began_at: float
 
 
 class OpenRequests:
-    """Sees to it that each request gets exactly one answer, however its handling ends.
+    """Ensures that each request gets exactly one answer, however its handling ends.
 
     :param events: the process's event log.
     """
 
     def __init__(self, *, events: EventLog) -> None:
         self._events = events
-        self._waiting_by_task: dict[asyncio.Task[Any], _Waiting] = {}
+        self._pending_by_task: dict[asyncio.Task[Any], _PendingRequest] = {}
 
-    def begin(self, request: OpenRequest[AnswerT]) -> None:
-        """Handle a request in a task of its own, and answer it when that has ended."""
+    def start_handling(self, request: OpenRequest[AnswerT]) -> None:
+        """Handle a request in a task of its own, and answer it when the task has ended."""
         task = asyncio.create_task(request.handle(), name=f"request:{request.path}")
-        self._waiting_by_task[task] = _Waiting(request, self._events.clock.monotonic())
-        # Whatever the handling waits for may fail, or be cancelled by others who share it: a
-        # connection that is closed, a shard that is given up. If the task itself owed the answer,
-        # its caller would see a silent connection until one side ended it. A callback runs however
-        # a task ends, even one that is cancelled before its first step.
-        task.add_done_callback(self._answer)
+        self._pending_by_task[task] = _PendingRequest(request, self._events.clock.monotonic())
+        # Whatever the handling awaits may fail, or be cancelled by others that share it, as when a
+        # connection is closed or a shard is given up. If the task itself sent the answer, its
+        # caller would wait on a silent connection until one side closed it. A callback runs
+        # however a task ends, even if it is cancelled before its first step.
+        task.add_done_callback(self._on_handled)
 
-    async def settle(self, *, timeout_s: float) -> None:
-        """Wait until all requests are answered; those that aren't in time get their fallback.
+    async def drain(self, *, timeout_s: float) -> None:
+        """Wait until all requests are answered; those that aren't in time get the fallback.
 
         :param timeout_s: seconds to wait for their handling.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
-                while self._waiting_by_task:
-                    await asyncio.wait(list(self._waiting_by_task))
-        for task in list(self._waiting_by_task):
-            # Answered first: a handling that is cancelled may take its time to end.
-            self._give_fallback(task, asyncio.CancelledError(), stopping=True)
+                while self._pending_by_task:
+                    await asyncio.wait(list(self._pending_by_task))
+        for task in list(self._pending_by_task):
+            # Answered first, as a cancelled handling may take long to end.
+            self._send_fallback(task, asyncio.CancelledError(), stopping=True)
             task.cancel()
 
-    def _answer(self, task: "asyncio.Task[Any]") -> None:
-        if task not in self._waiting_by_task:
+    def _on_handled(self, task: "asyncio.Task[Any]") -> None:
+        if task not in self._pending_by_task:
             return
         try:
             answer = task.result()
         except (Exception, asyncio.CancelledError) as exc:
-            self._give_fallback(task, exc)
+            self._send_fallback(task, exc)
         else:
-            self._waiting_by_task.pop(task).request.send(answer)
+            self._pending_by_task.pop(task).request.send(answer)
 
-    def _give_fallback(
+    def _send_fallback(
         self, task: "asyncio.Task[Any]", exc: BaseException, *, stopping: bool = False
     ) -> None:
-        request, began = self._waiting_by_task.pop(task)
-        # The answer first: a line that can't be written costs the caller nothing.
-        request.send(request.fallback(unanswered.ending_of(exc, stopping=stopping)))
-        end = unanswered.end_of(exc, stopping=stopping)
+        request, began_at = self._pending_by_task.pop(task)
+        # Answered first, so that a log line that can't be written doesn't cost the answer.
+        request.send(request.fallback(unanswered.failure_kind(exc, stopping=stopping)))
+        failure = unanswered.record_failure(exc, stopping=stopping)
         self._events.note(
             "request.unanswered",
             vital=True,
             method=request.method,
             path=request.path,
             job=request.job,
-            how=end.how.value,
-            why=end.cause,
-            at=_innermost(exc),
-            after_s=self._events.clock.monotonic() - began,
+            how=failure.how.value,
+            why=failure.cause,
+            at=_raise_location(exc),
+            after_s=self._events.clock.monotonic() - began_at,
         )
 
 
-def _innermost(exc: BaseException) -> str:
-    """Where an exception was raised, as ``file:line in function``."""
+def _raise_location(exc: BaseException) -> str:
+    """Return where an exception was raised, as ``file:line in function``."""
     frames = traceback.extract_tb(exc.__traceback__)
     if not frames:
         return ""
--- a/mustardgap/unanswered.py
+++ b/mustardgap/unanswered.py
@@ -1,4 +1,4 @@
-"""Tells how the handling of a request ended that had no answer for the caller."""
+"""Classifies and counts requests whose handling ended without an answer for the caller."""
 
 import asyncio
 import enum
@@ -7,35 +7,35 @@
 from . import metrics
 
 
-class Ending(enum.Enum):
-    """How a handling ended that gave no answer."""
+class FailureKind(enum.Enum):
+    """How the handling of a request ended without an answer."""
 
     FAILED = "failed"
     CANCELLED = "cancelled"
-    # By a stop of this daemon.
+    # Ended because this daemon is stopping.
     CUT = "cut"
 
 
-class End(NamedTuple):
-    """What ended the handling of a request; ``cause`` is the error."""
+class Failure(NamedTuple):
+    """How the handling of a request ended without an answer; ``cause`` is the error."""
 
-    how: Ending
+    how: FailureKind
     cause: str
 
 
-def ending_of(exc: BaseException, *, stopping: bool = False) -> Ending:
-    """How the handling of a request ended.
+def failure_kind(exc: BaseException, *, stopping: bool = False) -> FailureKind:
+    """Classify how the handling of a request ended.
 
     :param exc: the exception that the handling ended with.
-    :param stopping: whether this daemon ended it, because it stops.
+    :param stopping: whether this daemon ended it because it is stopping.
     """
     if stopping:
-        return Ending.CUT
-    return Ending.CANCELLED if isinstance(exc, asyncio.CancelledError) else Ending.FAILED
+        return FailureKind.CUT
+    return FailureKind.CANCELLED if isinstance(exc, asyncio.CancelledError) else FailureKind.FAILED
 
 
-def end_of(exc: BaseException, *, stopping: bool = False) -> End:
-    """What ended the handling of a request, counted; see ``ending_of``."""
-    how = ending_of(exc, stopping=stopping)
+def record_failure(exc: BaseException, *, stopping: bool = False) -> Failure:
+    """Classify what ended the handling of a request, and count it; see ``failure_kind``."""
+    how = failure_kind(exc, stopping=stopping)
     metrics.unanswered_requests.add(1, {"how": how.value})
-    return End(how, "this entry host has stopped" if stopping else repr(exc))
+    return Failure(how, "this entry host has stopped" if stopping else repr(exc))
