--- a/features/steps/entries_steps.py
+++ b/features/steps/entries_steps.py
@@ -29,7 +29,7 @@
 from tools.owner_troubles import TWO_STEPS, UNREADABLE
 from tools.owner_worlds import play
 
-GOOD = {
+VALID_ENTRY = {
     "service": "quoting",
     "addr": "10.1.0.9:8080",
     "zone": "d1",
@@ -42,11 +42,11 @@
     "labels": ["a", "r1-3"],
     "machine": "m-1",
 }
-REQUIRED = sorted(GOOD.keys() - {"machine"})
-RAW = {
+REQUIRED = sorted(VALID_ENTRY.keys() - {"machine"})
+INVALID_ENTRIES = {
     "nothing in JSON": b"hello",
-    "cut off": msgspec.json.encode(GOOD)[:-7],
-    "not in UTF-8": msgspec.json.encode(GOOD).replace(b"quoting", b"quot\xff\xfe"),
+    "cut off": msgspec.json.encode(VALID_ENTRY)[:-7],
+    "not in UTF-8": msgspec.json.encode(VALID_ENTRY).replace(b"quoting", b"quot\xff\xfe"),
     "a list": b"[1,2]",
     "null": b"null",
     "a number": b"17",
@@ -55,7 +55,7 @@
 
 def entry_with(**changes):
     """What decoding makes of a good entry with some fields changed."""
-    return decode_entry("x1", msgspec.json.encode({**GOOD, **changes}))
+    return decode_entry("x1", msgspec.json.encode({**VALID_ENTRY, **changes}))
 
 
 @then("an executor's entry with nothing changed names the executor")
@@ -67,7 +67,7 @@
 
 @then("an executor's entry with {field} {change} is invalid")
 def check_changed(context, field, change):
-    fields = dict(GOOD)
+    fields = dict(VALID_ENTRY)
     if change == "left out":
         del fields[field]
     else:
@@ -85,26 +85,26 @@
 
 @then("an entry that is {kind} is invalid")
 def check_raw(context, kind):
-    assert isinstance(decode_entry("x1", RAW[kind]), Invalid)
+    assert isinstance(decode_entry("x1", INVALID_ENTRIES[kind]), Invalid)
 
 
-ANYTHING = st.recursive(
+ANY_JSON_VALUE = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner, max_size=3),
     max_leaves=6,
 )
-HISTORIES = st.fixed_dictionaries(
+ENTRY_FIELDS = st.fixed_dictionaries(
     {},
-    optional={name: st.just(GOOD[name]) | ANYTHING for name in GOOD}
-    | {"remainingMs": ANYTHING, "another": ANYTHING},
+    optional={name: st.just(VALID_ENTRY[name]) | ANY_JSON_VALUE for name in VALID_ENTRY}
+    | {"remainingMs": ANY_JSON_VALUE, "another": ANY_JSON_VALUE},
 )
 
 
 @then("drawn entries are read as they are meant, or are invalid")
 def check_drawn(context):
     @profile(max_examples=500, deadline=None, suppress_health_check=list(HealthCheck))
-    @drawn(HISTORIES, st.integers(0, 400), st.binary(max_size=20))
-    def check(fields, place, noise):
+    @drawn(ENTRY_FIELDS, st.integers(0, 400), st.binary(max_size=20))
+    def check(fields, position, inserted):
         entry = decode_entry("x1", msgspec.json.encode(fields))
         if not isinstance(entry, Invalid):
             assert all(name in fields for name in REQUIRED), fields
@@ -114,9 +114,9 @@
             assert tuple(entry.capacity) == amounts, (entry.capacity, capacity)
             assert fields["state"] in ("ready", "draining")
             assert 0 < int(entry.address.rpartition(":")[2]) < 65_536
-        raw = msgspec.json.encode({**GOOD, **fields})
-        decode_entry("x1", raw[:place] + noise + raw[place:])
-        decode_entry("x1", raw[:place])
+        raw = msgspec.json.encode({**VALID_ENTRY, **fields})
+        decode_entry("x1", raw[:position] + inserted + raw[position:])
+        decode_entry("x1", raw[:position])
 
     check()
 
@@ -131,8 +131,8 @@
         clock=Clock(),
         events=context.events,
     )
-    good = {f"x{n}": msgspec.json.encode(GOOD) for n in range(3)}
-    context.bad = {f"bad-{n}": raw for n, raw in enumerate(RAW.values())}
+    good = {f"x{n}": msgspec.json.encode(VALID_ENTRY) for n in range(3)}
+    context.bad = {f"bad-{n}": raw for n, raw in enumerate(INVALID_ENTRIES.values())}
     for _ in range(times):
         board._apply_entries(Entries(values_by_key={**context.bad, **good}, end=1))
     context.board = board
@@ -201,13 +201,13 @@
             world.store.write_entry(executor.entry.executor, UNREADABLE)
         await asyncio.sleep(0.5)
         context.from_s = world.loop.time()
-        late = job_id_of(77)
-        await world.submit_until_accepted(late, world.asked_by_job[job_id_of(0)].spec)
+        late_job = job_id_of(77)
+        await world.submit_until_accepted(late_job, world.asked_by_job[job_id_of(0)].spec)
         await asyncio.sleep(seconds)
         context.until_s = world.loop.time()
         world.beating = True
         await work
-        context.states[late] = await world.final_state(late, 60)
+        context.states[late_job] = await world.final_state(late_job, 60)
 
     context.world = play(scene, work_s=1.5)
 
@@ -215,14 +215,14 @@
 @then("what ran has gone on, and nothing was started until the entries were back")
 def check_overwritten(context):
     runs = context.world.fleet.record.runs
-    begun = [run for run in runs if run.started_at < context.from_s]
-    assert begun and all(run.how is EndKind.DONE for run in begun), begun
+    started = [run for run in runs if run.started_at < context.from_s]
+    assert started and all(run.how is EndKind.DONE for run in started), started
     new = [run for run in runs if context.from_s < run.started_at < context.until_s]
     assert not new, new
     assert set(context.states.values()) == {"completed"}, context.states
 
 
-KEYS = {
+STORE_KEYS = {
     "a job": (SERVICE, JOB_KEY + job_id_of(0)),
     "a job's progress": (SERVICE, PROGRESS_KEY + job_id_of(0)),
     "an executor": (SERVICE, EXECUTOR_KEY + "x1"),
@@ -234,13 +234,13 @@
 
 @when("an owner dies and the record of {kind} can't be read")
 def record_unreadable(context, kind):
-    service, context.key = KEYS[kind]
+    service, context.key = STORE_KEYS[kind]
     shard = FLEET_SHARD if service is None else shard_of(service, SHARDS)
 
     async def scene(world):
         await asyncio.sleep(START_S)
-        context.spoilt = job_id_of(0)
-        assert await world.submit_until_accepted(context.spoilt, TWO_STEPS)
+        context.unreadable_job = job_id_of(0)
+        assert await world.submit_until_accepted(context.unreadable_job, TWO_STEPS)
         await asyncio.sleep(0.9)
         for daemon in list(world.daemons_by_address.values()):
             if shard in daemon.owners.owned_by_shard:
@@ -248,14 +248,14 @@
         world.store.shards[shard].values_by_key[context.key] = UNREADABLE
         context.states = {}
         ids = range(1, 5)
-        await asyncio.gather(*(_one(world, context.states, job_id_of(n)) for n in ids))
+        await asyncio.gather(*(_run_job(world, context.states, job_id_of(n)) for n in ids))
         await asyncio.sleep(20)
         context.lines = [x for d in world.daemons_by_address.values() for x in d.events.kept]
 
     context.world = play(scene)
 
 
-async def _one(world, states, job_id):
+async def _run_job(world, states, job_id):
     assert await world.submit_until_accepted(job_id, TWO_STEPS)
     states[job_id] = await world.final_state(job_id, 60)
 
@@ -263,7 +263,7 @@
 @then("all other jobs have ended as completed, and nothing of the job has run twice")
 def check_others(context):
     assert set(context.states.values()) == {"completed"}, context.states
-    runs = [r for r in context.world.fleet.record.runs if r.task.job == context.spoilt]
+    runs = [r for r in context.world.fleet.record.runs if r.task.job == context.unreadable_job]
     assert len(runs) >= 3, runs
     done = [run.task for run in runs if run.how is EndKind.DONE]
     assert len(done) == len(set(done)), runs
--- a/features/steps/executors_steps.py
+++ b/features/steps/executors_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from features.support.drawing import bounded
-from features.support.entries import SpreadSlots, make_state, make_workers
+from features.support.entries import LeastLoadedSlots, make_state, make_workers
 from features.support.rigs import Rig
 from mustardgap.executors import Executors
 from mustardgap.healths import Sign
@@ -74,7 +74,7 @@
     """Six executors behind one entry host that spreads its requests and counts its tries."""
 
     def __init__(self, **options):
-        super().__init__(NAMES, slots=SpreadSlots, **options)
+        super().__init__(NAMES, slots=LeastLoadedSlots, **options)
         self.tries = Counter()
 
     async def __aenter__(self):
--- a/features/steps/fuzz_steps.py
+++ b/features/steps/fuzz_steps.py
@@ -7,7 +7,7 @@
 
 from behave import then, when
 
-from features.support.entries import FirstSlots
+from features.support.entries import FirstExecutorSlots
 from features.support.rigs import Rig
 from mustardgap import outliers
 from standins import answers
@@ -190,7 +190,7 @@
 # A frozen entry host.
 
 
-class _PickedSlots(FirstSlots):
+class _PickedSlots(FirstExecutorSlots):
     """Gives the executor that the test picks."""
 
     pick = "x2"
--- a/features/steps/key_claims_steps.py
+++ b/features/steps/key_claims_steps.py
@@ -29,39 +29,39 @@
 class DrawnLog:
     """A log whose appends end as drawn; those that are delayed land before a later append."""
 
-    def __init__(self, fates):
-        self.fates = fates
+    def __init__(self, append_outcomes):
+        self.append_outcomes = append_outcomes
         self.records = []
         self.delayed = []
-        self.landed = asyncio.Event()
+        self.appended = asyncio.Event()
 
     async def append(self, stream, values):
-        fate = self.fates.pop() if self.fates else "well"
+        append_outcome = self.append_outcomes.pop() if self.append_outcomes else "well"
         await asyncio.sleep(0)
-        if fate == "refused":
+        if append_outcome == "refused":
             raise PlatformError(detail="drawn")
-        if fate in ("delayed", "stuck"):
+        if append_outcome in ("delayed", "stuck"):
             self.delayed += values
             # One that is stuck lands only when its request has been refused.
-            await asyncio.sleep(0.03 if fate == "stuck" else 0)
+            await asyncio.sleep(0.03 if append_outcome == "stuck" else 0)
             raise AnswerLost(detail="drawn")
-        for value in values * (2 if fate == "doubled" else 1):
-            self._land(value)
+        for value in values * (2 if append_outcome == "doubled" else 1):
+            self._append_record(value)
         while self.delayed:
-            self._land(self.delayed.pop())
-        if fate == "lost":
+            self._append_record(self.delayed.pop())
+        if append_outcome == "lost":
             raise AnswerLost(detail="drawn")
         return len(self.records) - len(values)
 
-    def _land(self, value):
+    def _append_record(self, value):
         self.records.append(LogRecord(len(self.records), time.time(), value))
-        self.landed.set()
-        self.landed = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
 
     def claims_held(self):
         """The ids of the claims that hold a key, to one who reads the log from its start."""
         while self.delayed:
-            self._land(self.delayed.pop())
+            self._append_record(self.delayed.pop())
         ledger = Ledger(ttl_s=3600.0)
         for record in self.records:
             ledger.fold(record)
@@ -70,7 +70,7 @@
     async def read(self, stream, start, *, limit=500, wait_s=0.0):
         if start >= len(self.records) and wait_s:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.landed.wait(), wait_s)
+                await asyncio.wait_for(self.appended.wait(), wait_s)
         records = self.records[start : start + limit]
         return Page(records, start + len(records), 0, len(self.records))
 
@@ -82,9 +82,9 @@
     settings = msgspec.convert(
         {"host": "e", "data_center": "d", "platform": {"address": "127.0.0.1:1"}}, Settings
     )
-    fast = msgspec.convert(requests, type(settings.requests))
-    settings = msgspec.structs.replace(settings, requests=fast)
-    fates = st.lists(
+    request_settings = msgspec.convert(requests, type(settings.requests))
+    settings = msgspec.structs.replace(settings, requests=request_settings)
+    append_outcomes = st.lists(
         st.sampled_from(["well", "lost", "delayed", "stuck", "doubled", "refused"]), max_size=12
     )
     steps = st.lists(
@@ -98,14 +98,14 @@
         max_size=10,
     )
 
-    async def one(drawn_fates, drawn_steps):
-        log = DrawnLog(list(drawn_fates))
+    async def run_example(drawn_outcomes, drawn_steps):
+        log = DrawnLog(list(drawn_outcomes))
         hosts = [Keys(settings=settings, platform=log, member=f"e{i}") for i in range(3)]
         tasks = [asyncio.create_task(host.run()) for host in hosts]
-        executed, won = Counter(), set()
+        executed, won_ids = Counter(), set()
 
-        async def send(index, key, outcome, turns):
-            for _ in range(turns):
+        async def send(index, key, outcome, yields):
+            for _ in range(yields):
                 await asyncio.sleep(0)
             headers = HTTPHeaders({"Idempotency-Key": key})
             request = Request("r", "POST", "/quotes", headers)
@@ -115,7 +115,7 @@
                 context.results[result.code.number] += 1
                 return
             context.results["claimed"] += 1
-            won.add(result.id)
+            won_ids.add(result.id)
             if outcome != "not run":
                 executed[key] += 1
             await asyncio.sleep(0)
@@ -136,16 +136,16 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         if "killed" not in [outcome for _, _, outcome, _ in drawn_steps]:
-            assert log.claims_held() <= won, (drawn_fates, drawn_steps)
-        assert max(executed.values(), default=0) <= 1, (executed, drawn_fates, drawn_steps)
+            assert log.claims_held() <= won_ids, (drawn_outcomes, drawn_steps)
+        assert max(executed.values(), default=0) <= 1, (executed, drawn_outcomes, drawn_steps)
 
     @bounded(5000 if LONG else 200)
-    @drawn(fates, steps)
-    def example(drawn_fates, drawn_steps):
-        runner.run(one(drawn_fates, drawn_steps))
+    @drawn(append_outcomes, steps)
+    def example(drawn_outcomes, drawn_steps):
+        runner.run(run_example(drawn_outcomes, drawn_steps))
 
-    waits = {"RETRY_S": 0.002, "END_LINGER_S": 0.001}
-    with mock.patch.multiple(claim_logs, **waits), runner:
+    delays = {"RETRY_S": 0.002, "END_LINGER_S": 0.001}
+    with mock.patch.multiple(claim_logs, **delays), runner:
         example()
 
 
--- a/features/steps/keys_steps.py
+++ b/features/steps/keys_steps.py
@@ -10,9 +10,9 @@
 from behave import given, then, when
 from tornado.httpserver import HTTPServer
 
-from features.support.entries import Entry
+from features.support.entries import EntryHost
 from features.support.rigs import Rig
-from mustardgap.keys import SKEW_S
+from mustardgap.keys import MAX_CLOCK_SKEW_S
 from standins import platforms
 from standins.faults import Fault
 from standins.settings import FleetSpec
@@ -34,7 +34,7 @@
     "doubled, down": [{"fault": "doubled"}, {"fault": "down"}],
     "down, unread": [{"fault": "down"}, {"fault": "down", "method": "GET"}],
 }
-FATES = {
+OUTCOMES = {
     "a small answer": {},
     "an answer too large to keep": {"query": "size=9000"},
     "an answer passed on": {"query": "size=500000"},
@@ -48,7 +48,7 @@
 }
 
 
-class Keyed(Rig):
+class KeyRig(Rig):
     """Two entry hosts over the same executors and a platform, in this process."""
 
     def __init__(self, folder):
@@ -64,14 +64,14 @@
         self.server.listen(self.platform_port, "127.0.0.1")
         await super().__aenter__()
         self.rows = [(n, f"127.0.0.1:{e.port}", "r") for n, e in self.upstreams.by_name.items()]
-        self.entries = [self.entry, await self.another("e2")]
-        await self.until_ready()
+        self.entries = [self.entry, await self.start_entry_host("e2")]
+        await self.wait_until_ready()
         return self
 
-    async def another(self, name):
-        return await Entry(name, self.rows, platform=self.platform_address).__aenter__()
+    async def start_entry_host(self, name):
+        return await EntryHost(name, self.rows, platform=self.platform_address).__aenter__()
 
-    async def until_ready(self):
+    async def wait_until_ready(self):
         async with asyncio.timeout(10):
             while not all(entry.keys.is_usable() for entry in self.entries):
                 await asyncio.sleep(0.02)
@@ -82,7 +82,7 @@
         await super().__aexit__(*args)
         self.server.stop()
 
-    def log_faults(self, name):
+    def set_log_faults(self, name):
         self.platform.faults.clear()
         for fields in FAULTS[name]:
             self.platform.faults.add(Fault(**{"on": STREAM, "method": "POST", **fields}))
@@ -90,142 +90,142 @@
     async def send(self, entry=0, *, query="", timeout_s=3.0):
         """Send the request of the key; each time it is the same one."""
         self.entry, self.count = self.entries[entry], 0
-        told = await self.ask("keyed", query=query, timeout_s=timeout_s, headers=KEY)
-        if told.code == 1000:
-            told.check(self.runs(told.path), False)
-        return told
+        answer = await self.ask("keyed", query=query, timeout_s=timeout_s, headers=KEY)
+        if answer.code == 1000:
+            answer.check(self.runs(answer.path), False)
+        return answer
 
 
 @given("keys with two entry hosts")
 def two_entries(context):
     context.runner = asyncio.Runner()
-    context.keyed = context.runner.run(Keyed(context.folder).__aenter__())
+    context.key_rig = context.runner.run(KeyRig(context.folder).__aenter__())
     context.add_cleanup(context.runner.close)
-    context.add_cleanup(lambda: context.runner.run(context.keyed.__aexit__()))
+    context.add_cleanup(lambda: context.runner.run(context.key_rig.__aexit__()))
     context.query = ""
 
 
 @when("keys' log has its appends {fault}")
 def fault_log(context, fault):
-    context.keyed.log_faults(fault)
+    context.key_rig.set_log_faults(fault)
 
 
 @when("keys' log is well again")
-def mend_log(context):
-    context.keyed.log_faults("well")
+def restore_log(context):
+    context.key_rig.set_log_faults("well")
 
 
 @when("keys are sent {count:d} times at once through both entry hosts")
 def send_at_once(context, count):
     async def main():
-        k = context.keyed
-        sends = [asyncio.create_task(k.send(number % 2)) for number in range(count)]
-        context.told = [(await task).code for task in sends]
+        rig = context.key_rig
+        sends = [asyncio.create_task(rig.send(number % 2)) for number in range(count)]
+        context.codes = [(await task).code for task in sends]
 
     context.runner.run(main())
-    assert set(context.told) <= {1000, 1001, 1108}, context.told
-    assert context.told.count(1000) <= 1, context.told
+    assert set(context.codes) <= {1000, 1001, 1108}, context.codes
+    assert context.codes.count(1000) <= 1, context.codes
 
 
 @when("keys are sent once")
 def send_once(context):
-    context.told = context.runner.run(context.keyed.send())
+    context.answer = context.runner.run(context.key_rig.send())
 
 
 @then("keys have run once")
-def have_run(context):
-    runs = context.keyed.runs()
+def check_ran_once(context):
+    runs = context.key_rig.runs()
     assert len(runs) == 1, runs
 
 
 @then("keys have not run")
-def have_not_run(context):
-    assert not context.keyed.runs()
+def check_not_run(context):
+    assert not context.key_rig.runs()
 
 
 @then("keys are refused with {code:d} and have not run")
-def refused(context, code):
-    assert context.told.code == code, context.told.code
-    have_not_run(context)
+def check_refused(context, code):
+    assert context.answer.code == code, context.answer.code
+    check_not_run(context)
 
 
 @then("keys asked again run once")
 def ask_until_run(context):
     async def main():
         async with asyncio.timeout(15):
-            while (told := await context.keyed.send(1)).code != 1000:
-                assert told.code in (1107, 1108), told.code
+            while (answer := await context.key_rig.send(1)).code != 1000:
+                assert answer.code in (1107, 1108), answer.code
                 await asyncio.sleep(0.1)
 
     context.runner.run(main())
-    have_run(context)
+    check_ran_once(context)
 
 
 @then("keys asked again through either are replayed")
-def replayed(context):
-    asked_again(context, 1001)
+def check_replayed(context):
+    check_sent_again(context, 1001)
 
 
 @when("keys are sent until one was refused for it")
 def refuse_one(context):
-    context.told = context.runner.run(context.keyed.send())
+    context.answer = context.runner.run(context.key_rig.send())
     context.runner.run(asyncio.sleep(1.2))
 
 
 @then("keys sent then are refused without a wait")
-def refused_at_once(context):
+def check_refused_at_once(context):
     async def main():
-        k, waits = context.keyed, []
+        rig, wait_times_s = context.key_rig, []
         for number in range(10):
             started = time.monotonic()
-            told = await k.ask("keyed", headers={"Idempotency-Key": f"k{number}"})
-            waits.append(time.monotonic() - started)
-            assert told.code == 1107, told.code
+            answer = await rig.ask("keyed", headers={"Idempotency-Key": f"k{number}"})
+            wait_times_s.append(time.monotonic() - started)
+            assert answer.code == 1107, answer.code
         # One in a quarter of a second tries whether the log works again.
-        assert sum(wait < 0.2 for wait in waits) >= 5, waits
+        assert sum(wait < 0.2 for wait in wait_times_s) >= 5, wait_times_s
 
     context.runner.run(main())
-    have_not_run(context)
+    check_not_run(context)
 
 
-@when("keys are sent with {fate}")
-def send_with(context, fate):
-    k, spec = context.keyed, FATES[fate]
+@when("keys are sent with {outcome}")
+def send_with(context, outcome):
+    rig, spec = context.key_rig, OUTCOMES[outcome]
     context.query = spec.get("query", "")
 
     async def main():
         if "fault" in spec:
-            k.fault(spec["fault"])
-        if fate == "a caller that hung up":
-            _, writer = await asyncio.open_connection("127.0.0.1", k.entries[0].callers.port)
+            rig.fault(spec["fault"])
+        if outcome == "a caller that hung up":
+            _, writer = await asyncio.open_connection("127.0.0.1", rig.entries[0].callers.port)
             head = f"POST /quotes/1?{context.query} HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n"
             writer.write(f'{head}Idempotency-Key: {KEY["Idempotency-Key"]}\r\n\r\n1'.encode())
             await asyncio.sleep(0.3)
             writer.close()
             await asyncio.sleep(0.5)
         else:
-            sending = asyncio.create_task(k.send(query=context.query))
-            if fate == "an end that the log refused":
+            sending = asyncio.create_task(rig.send(query=context.query))
+            if outcome == "an end that the log refused":
                 await asyncio.sleep(0.2)
-                k.log_faults("down")
+                rig.set_log_faults("down")
             await sending
             await asyncio.sleep(0.2)
-            k.log_faults("well")
-        k.upstreams.faults.clear()
-        if fate == "a forgotten key":
-            await forget(k)
-        if fate in ("another body", "a forgotten key"):
+            rig.set_log_faults("well")
+        rig.upstreams.faults.clear()
+        if outcome == "a forgotten key":
+            await forget(rig)
+        if outcome in ("another body", "a forgotten key"):
             context.query = "other=1"
 
     context.runner.run(main())
 
 
-async def forget(keyed):
+async def forget(key_rig):
     """Let the time of all keys run out, which is looked at when the next record is read."""
-    ledgers = [entry.keys._log.ledger for entry in keyed.entries]
+    ledgers = [entry.keys._log.ledger for entry in key_rig.entries]
     for ledger in ledgers:
         ledger.ttl_s = 0.0
-    await keyed.ask("keyed", headers={"Idempotency-Key": "another"})
+    await key_rig.ask("keyed", headers={"Idempotency-Key": "another"})
     await asyncio.sleep(0.2)
     for ledger in ledgers:
         ledger.ttl_s = 3600.0
@@ -234,78 +234,78 @@
 @when("keys' claimant answers while the log is down, and the claim's time passes")
 def end_while_down(context):
     async def main():
-        k = context.keyed
-        sending = asyncio.create_task(k.send(query="run_s=0.4", timeout_s=3.0))
-        ledger = k.entries[1].keys._log.ledger
+        rig = context.key_rig
+        sending = asyncio.create_task(rig.send(query="run_s=0.4", timeout_s=3.0))
+        ledger = rig.entries[1].keys._log.ledger
         while not ledger.by_key:
             await asyncio.sleep(0.005)
-        k.log_faults("down, unread")
+        rig.set_log_faults("down, unread")
         assert (await sending).code == 1000
         entries = ledger.by_key.values()
         async with asyncio.timeout(20):
-            while not entries or k.entries[1].keys.is_usable():
+            while not entries or rig.entries[1].keys.is_usable():
                 await asyncio.sleep(0.05)
-            while any(entry.until + SKEW_S > time.time() for entry in entries):
+            while any(entry.until + MAX_CLOCK_SKEW_S > time.time() for entry in entries):
                 await asyncio.sleep(0.05)
 
     context.runner.run(main())
 
 
 @then("keys asked through the other host are refused with {code:d}")
-def asked_other(context, code):
-    told = context.runner.run(context.keyed.send(1, query="run_s=0.4"))
-    assert told.code == code, told.code
+def check_other_host_refuses(context, code):
+    answer = context.runner.run(context.key_rig.send(1, query="run_s=0.4"))
+    assert answer.code == code, answer.code
 
 
 @then("keys are replayed once the log is back")
-def replayed_when_back(context):
+def check_replayed_later(context):
     async def main():
-        context.keyed.log_faults("well")
+        context.key_rig.set_log_faults("well")
         async with asyncio.timeout(15):
-            while (told := await context.keyed.send(1, query="run_s=0.4")).code in (1107, 1108):
+            while (answer := await context.key_rig.send(1, query="run_s=0.4")).code in (1107, 1108):
                 await asyncio.sleep(0.05)
-        assert told.code == 1001, told.code
+        assert answer.code == 1001, answer.code
 
     context.runner.run(main())
-    have_run(context)
+    check_ran_once(context)
 
 
 @when("keys' entry hosts are replaced")
 def replace(context):
     async def main():
-        k = context.keyed
-        for entry in k.entries:
+        rig = context.key_rig
+        for entry in rig.entries:
             await entry.keys.flush(timeout_s=5.0)
             await entry.__aexit__()
-        k.entries = [await k.another("e3"), await k.another("e4")]
-        await k.until_ready()
+        rig.entries = [await rig.start_entry_host("e3"), await rig.start_entry_host("e4")]
+        await rig.wait_until_ready()
 
     context.runner.run(main())
 
 
 @then("keys asked again through either are answered {code:d}")
-def asked_again(context, code):
+def check_sent_again(context, code):
     async def main():
         for entry in (0, 1):
             async with asyncio.timeout(10):
-                told = await context.keyed.send(entry, query=context.query)
-                while told.code == 1108:
+                answer = await context.key_rig.send(entry, query=context.query)
+                while answer.code == 1108:
                     await asyncio.sleep(0.05)
-                    told = await context.keyed.send(entry, query=context.query)
+                    answer = await context.key_rig.send(entry, query=context.query)
             expected = {code, 1001} if code == 1000 else {code}
-            assert told.code in expected, told.code
+            assert answer.code in expected, answer.code
 
     context.runner.run(main())
-    counts = Counter(run.path for run in context.keyed.runs())
+    counts = Counter(run.path for run in context.key_rig.runs())
     assert max(counts.values()) == 1, counts
 
 
 @given("keys with two entry hosts, the first in a process of its own")
 def entry_process(context):
     two_entries(context)
-    k = context.keyed
+    rig = context.key_rig
     (port,) = free_ports(1)
-    options = {"name": "e0", "executors": k.rows, "platform": k.platform_address}
+    options = {"name": "e0", "executors": rig.rows, "platform": rig.platform_address}
     options["callers"] = {"port": port}
     text = msgspec.json.encode(options).decode()
     context.processes.start("e0", "features.support.entries", text)
@@ -327,16 +327,16 @@
     return writer
 
 
-@when("keys' claimant is {fate} while its request runs")
-def lose_claimant(context, fate):
-    k = context.keyed
+@when("keys' claimant is {failure} while its request runs")
+def lose_claimant(context, failure):
+    rig = context.key_rig
 
     async def main():
         context.writer = await _send_raw(context, "run_s=1", 2.0)
         async with asyncio.timeout(10):
-            while not k.upstreams.by_name["x1"].show()["running"]:
+            while not rig.upstreams.by_name["x1"].show()["running"]:
                 await asyncio.sleep(0.01)
-        number = signal.SIGKILL if fate == "killed" else signal.SIGSTOP
+        number = signal.SIGKILL if failure == "killed" else signal.SIGSTOP
         context.processes.signal("e0", number)
 
     context.query = "run_s=1"
@@ -344,12 +344,12 @@
 
 
 @then("keys asked through the other host are in use, then unknown")
-def in_use_then_unknown(context):
+def check_in_use_then_unknown(context):
     async def main():
         seen = []
         async with asyncio.timeout(15):
             while not seen or seen[-1] == 1108:
-                seen.append((await context.keyed.send(1, query=context.query)).code)
+                seen.append((await context.key_rig.send(1, query=context.query)).code)
                 await asyncio.sleep(0.1)
         context.seen = seen
 
@@ -359,18 +359,18 @@
 
 @when("keys' claimant is frozen between its claim and its request")
 def freeze_claimant(context):
-    k = context.keyed
+    rig = context.key_rig
 
     async def main():
         # The append takes effect after 0.3 s; by then the claimant is stopped, for longer than
         # the request has time.
-        k.platform.faults.add(Fault(fault="slow", on=STREAM, method="POST", seconds=0.3))
+        rig.platform.faults.add(Fault(fault="slow", on=STREAM, method="POST", seconds=0.3))
         context.writer = await _send_raw(context, "", 1.0)
         await asyncio.sleep(0.15)
         context.processes.signal("e0", signal.SIGSTOP)
         await asyncio.sleep(1.5)
-        assert k.platform.logs.by_name["mustardgap-claims"].end == 1
-        k.platform.faults.clear()
+        assert rig.platform.logs.by_name["mustardgap-claims"].end == 1
+        rig.platform.faults.clear()
         context.processes.signal("e0", signal.SIGCONT)
         await asyncio.sleep(0.5)
 
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -106,13 +106,13 @@
     async def main():
         async with Rig() as r:
             if state == "waits for a slot":
-                r.entry.slots.open.clear()
+                r.entry.slots.grants_allowed.clear()
             _, writer = await asyncio.open_connection("127.0.0.1", r.entry.callers.port)
             # It runs for much longer than a process that is held up takes to notice the caller's
             # end: a run of 0.3 s is over by the time that the slot is looked at.
             lines = f"{METHODS[kind]} /quotes/gone?run_s=3 HTTP/1.1\r\nHost: a\r\n"
             writer.write((lines + "Content-Length: 0\r\n\r\n").encode())
-            await asyncio.wait_for(r.entry.slots.closed.wait(), 10)
+            await asyncio.wait_for(r.entry.slots.requested.wait(), 10)
             await asyncio.sleep(0.15)
             if state == "runs":
                 await until(lambda: r.upstreams.by_name["x1"].show()["running"])
@@ -120,7 +120,7 @@
             writer.close()
             await asyncio.sleep(0.3)
             context.held = r.entry.slots.held
-            r.entry.slots.open.set()
+            r.entry.slots.grants_allowed.set()
             await until(lambda: not r.entry.slots.held)
             await asyncio.sleep(0.5)
             await until(lambda: not r.upstreams.by_name["x1"].show()["running"])
--- a/features/steps/requests_wire_steps.py
+++ b/features/steps/requests_wire_steps.py
@@ -220,10 +220,10 @@
 def send_large(context):
     async def main():
         async with Rig(callers={"max_held_bytes": 200_000}) as r:
-            r.entry.slots.open.clear()
+            r.entry.slots.grants_allowed.clear()
             tasks = [asyncio.create_task(r.ask(body=b"x" * 90_000)) for _ in range(10)]
             await asyncio.sleep(0.3)
-            r.entry.slots.open.set()
+            r.entry.slots.grants_allowed.set()
             context.codes = {(await task).code for task in tasks}
             assert r.entry.callers.held_bytes == 0, r.entry.callers.held_bytes
 
--- a/features/support/entries.py
+++ b/features/support/entries.py
@@ -28,7 +28,7 @@
     "max_body_bytes": 100_000,
     "idempotent_methods": ["PUT"],
 }
-NOBODY = "127.0.0.1:1"
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
 
 
 def make_state(min_hosts=1):
@@ -55,19 +55,19 @@
     return SimpleNamespace(by_id=by_id, on_change=callbacks.append, callbacks=callbacks)
 
 
-class FirstSlots:
+class FirstExecutorSlots:
     """Gives the first executor that wasn't tried, in order, to anybody; counts what is held."""
 
     def __init__(self, *, executors):
         self.executors = executors
         self.held = 0
-        self.closed = asyncio.Event()
-        self.open = asyncio.Event()
-        self.open.set()
+        self.requested = asyncio.Event()
+        self.grants_allowed = asyncio.Event()
+        self.grants_allowed.set()
 
     async def acquire(self, service, *, deadline, urgency, exclude):
-        self.closed.set()
-        await self.open.wait()
+        self.requested.set()
+        await self.grants_allowed.wait()
         views = self.executors.candidates(service)
         if not views:
             raise SlotRefused(outcome=NotRun(code=status_codes.NO_EXECUTOR))
@@ -79,7 +79,7 @@
         self.held -= 1
 
 
-class SpreadSlots(FirstSlots):
+class LeastLoadedSlots(FirstExecutorSlots):
     """Gives the executor that has the least to do for its weight."""
 
     def __init__(self, *, executors):
@@ -92,8 +92,8 @@
             raise SlotRefused(outcome=NotRun(code=status_codes.NO_EXECUTOR))
         rest = [v for v in views if v.executor not in exclude] or views
         load = {v.executor: (self.held_by_executor[v.executor] + 1) / v.weight for v in rest}
-        least = [v for v in rest if load[v.executor] == min(load.values())]
-        view = random.choice(least)
+        least_loaded = [v for v in rest if load[v.executor] == min(load.values())]
+        view = random.choice(least_loaded)
         self.held += 1
         self.held_by_executor[view.executor] += 1
         return SimpleNamespace(executor=view)
@@ -103,7 +103,7 @@
         self.held_by_executor[slot.executor.executor] -= 1
 
 
-class Entry:
+class EntryHost:
     """The request side of one entry host; ``executors`` are (executor, address, rack) rows."""
 
     def __init__(
@@ -111,10 +111,10 @@
         name,
         executors,
         *,
-        platform=NOBODY,
+        platform=UNREACHABLE_ADDRESS,
         callers=None,
         requests=None,
-        slots=FirstSlots,
+        slots=FirstExecutorSlots,
         min_hosts=1,
         clock=None,
     ):
@@ -162,14 +162,14 @@
 
 async def _serve(text):
     options = msgspec.json.decode(text)
-    entry = Entry(**options)
+    entry = EntryHost(**options)
     keys = asyncio.create_task(entry.keys.run())
-    watch = asyncio.create_task(entry.timers.run())
+    timers = asyncio.create_task(entry.timers.run())
     while not entry.keys.is_usable():
         await asyncio.sleep(0.02)
     entry.callers.open()
     await keys
-    await watch
+    await timers
 
 
 if __name__ == "__main__":
--- a/features/support/rigs.py
+++ b/features/support/rigs.py
@@ -6,7 +6,7 @@
 from tornado.httpclient import HTTPRequest
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from features.support.entries import Entry
+from features.support.entries import EntryHost
 from standins.controls import check_body
 from standins.executors import Executors
 from standins.faults import Fault
@@ -35,7 +35,7 @@
         for name in self.names:
             executor = self.upstreams.start(f"w-{name}", "quotes", name=name)
             rows.append((name, f"127.0.0.1:{executor.port}", "r1"))
-        self.entry = await Entry("e1", rows, **self.options).__aenter__()
+        self.entry = await EntryHost("e1", rows, **self.options).__aenter__()
         self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=200)
         return self
 
--- a/mustardgap/claim_logs.py
+++ b/mustardgap/claim_logs.py
@@ -15,16 +15,16 @@
 from .settings import Settings
 from .timers import Clock
 
-MAX_BATCH = 200
-MAX_APPENDS = 4
+MAX_BATCH_SIZE = 200
+MAX_CONCURRENT_APPENDS = 4
 END_LINGER_S = 0.05
 READ_LIMIT = 1000
 RETRY_S = 0.25
 # How long a long poll may lag behind an append before it is taken for a silent connection, and
 # how long and by how much polls are shortened after that.
-READ_LAG_S = 0.1
-CAREFUL_S = 30.0
-CAREFUL_POLL_S = 1.0
+MAX_POLL_LAG_S = 0.1
+SHORT_POLL_PERIOD_S = 30.0
+SHORT_POLL_WAIT_S = 1.0
 
 
 class HasLog(Protocol):
@@ -40,13 +40,13 @@
 class Claimant(Protocol):
     """Who waits for claims to be read back."""
 
-    def decide(self, record: ClaimRecord) -> None:
+    def on_claim_read(self, record: ClaimRecord) -> None:
         """A claim was read from the log and the ledger has taken it in."""
 
-    def refuse(self, record: ClaimRecord) -> None:
+    def on_claim_failed(self, record: ClaimRecord) -> None:
         """A claim certainly doesn't stand on the log."""
 
-    def waits_for(self, record: ClaimRecord) -> bool:
+    def is_claim_pending(self, record: ClaimRecord) -> bool:
         """Whether a claim is still waited for."""
 
 
@@ -68,17 +68,17 @@
         self.clock = clock
         self.ledger = Ledger(ttl_s=settings.requests.key_ttl_s)
         self.stream = settings.platform.claims_stream
-        self._next = 0
-        self._end = 0
+        self._next_offset = 0
+        self._end_offset = 0
         self._readable = False
         self._readable_since = float("inf")
-        self._careful_until = 0.0
+        self._short_polls_until = 0.0
         self._appendable = True
         self._probe_at = 0.0
-        self._lost_ids: set[str] = set()
+        self._unconfirmed_ids: set[str] = set()
         self._queue: list[KeyRecord] = []
         self._queued = asyncio.Event()
-        self._claimed = asyncio.Event()
+        self._claim_queued = asyncio.Event()
         self._appended = asyncio.Event()
         self._appends: set[asyncio.Task[None]] = set()
 
@@ -86,7 +86,7 @@
         """Read and append until cancelled; appends on their way end by themselves."""
         # A group passes over a task that ends by a cancellation; the others would go on alone.
         async with asyncio.TaskGroup() as group:
-            for part in (self._read_on, self._append_on):
+            for part in (self._read_loop, self._append_loop):
                 group.create_task(cancellations.run_part(part))
 
     def put(self, record: KeyRecord) -> None:
@@ -94,19 +94,19 @@
         self._queue.append(record)
         self._queued.set()
         if isinstance(record, ClaimRecord):
-            self._claimed.set()
+            self._claim_queued.set()
 
     def withdraw(self, record: ClaimRecord) -> None:
         """Append a claim no more; it may stand on the log already."""
-        self._lost_ids.discard(record.id)
+        self._unconfirmed_ids.discard(record.id)
         if record in self._queue:
             self._queue.remove(record)
 
-    def is_settled(self) -> bool:
+    def is_flushed(self) -> bool:
         """Whether all records that were put stand on the log."""
         return not self._queue and not self._appends
 
-    def read_for_s(self) -> float:
+    def readable_for_s(self) -> float:
         """Tell for how long the log has been read without a failure, in seconds; 0 if it isn't."""
         return max(0.0, self.clock.monotonic() - self._readable_since)
 
@@ -123,16 +123,16 @@
         self._probe_at = now + RETRY_S
         return ""
 
-    async def _append_on(self) -> None:
+    async def _append_loop(self) -> None:
         budget = Budget(per_s=self.settings.requests.claim_appends_per_s, clock=self.clock)
         while True:
             await self._queued.wait()
             await self._linger()
-            while len(self._appends) >= MAX_APPENDS:
+            while len(self._appends) >= MAX_CONCURRENT_APPENDS:
                 await asyncio.wait(self._appends, return_when=asyncio.FIRST_COMPLETED)
             while (wait_s := budget.wait_s("actions")) > 0.0:
                 await self.clock.sleep(wait_s)
-            batch, self._queue = self._queue[:MAX_BATCH], self._queue[MAX_BATCH:]
+            batch, self._queue = self._queue[:MAX_BATCH_SIZE], self._queue[MAX_BATCH_SIZE:]
             if not self._queue:
                 self._queued.clear()
             if batch:
@@ -146,10 +146,10 @@
         """Let ends of claims wait for a claim to go with; nobody waits for them."""
         if any(isinstance(record, ClaimRecord) for record in self._queue):
             return
-        self._claimed.clear()
+        self._claim_queued.clear()
         try:
             async with asyncio.timeout(END_LINGER_S):
-                await self._claimed.wait()
+                await self._claim_queued.wait()
         except TimeoutError:
             pass
 
@@ -160,33 +160,33 @@
         except (PlatformError, AnswerLost) as exc:
             metrics.log_errors.add(1, {"call": "append"})
             self._note_appendable(False, str(exc))
-            self._take_back(batch, lost=isinstance(exc, AnswerLost))
+            self._handle_failed_append(batch, answer_lost=isinstance(exc, AnswerLost))
         except BaseException:
-            self._take_back(batch, lost=True)
+            self._handle_failed_append(batch, answer_lost=True)
             raise
         else:
             metrics.log_appends.add(len(batch), {"purpose": "claims"})
             self._note_appendable(True)
-            self._end = max(self._end, first + len(batch))
-            if self._end > self._next:
+            self._end_offset = max(self._end_offset, first + len(batch))
+            if self._end_offset > self._next_offset:
                 self._appended.set()
 
-    def _take_back(self, batch: list[KeyRecord], *, lost: bool) -> None:
+    def _handle_failed_append(self, batch: list[KeyRecord], *, answer_lost: bool) -> None:
         """Queue again what must stand on the log; a second copy does no harm there."""
-        again: list[KeyRecord] = []
+        retried: list[KeyRecord] = []
         for record in batch:
             if not isinstance(record, ClaimRecord):
-                again.append(record)
+                retried.append(record)
                 continue
-            if lost:
-                self._lost_ids.add(record.id)
+            if answer_lost:
+                self._unconfirmed_ids.add(record.id)
             # A claim whose first copy may stand on the log isn't refused with its second one.
-            if record.id not in self._lost_ids:
-                self.claimant.refuse(record)
-            elif self.claimant.waits_for(record):
-                again.append(record)
-        self._queue[:0] = again
-        if again:
+            if record.id not in self._unconfirmed_ids:
+                self.claimant.on_claim_failed(record)
+            elif self.claimant.is_claim_pending(record):
+                retried.append(record)
+        self._queue[:0] = retried
+        if retried:
             self._queued.set()
 
     def _note_appendable(self, appendable: bool, why: str = "") -> None:
@@ -200,56 +200,56 @@
         else:
             logging.warning("claims of keys can't be written: %s", why)
 
-    async def _read_on(self) -> None:
+    async def _read_loop(self) -> None:
         while True:
             try:
                 page = await self._read()
             except LogExpired as exc:
-                self._next = exc.oldest
+                self._next_offset = exc.oldest
             except PlatformError as exc:
                 metrics.log_errors.add(1, {"call": "read"})
                 self._note_readable(False, str(exc))
                 await self.clock.sleep(random.uniform(0.5, 1.5) * RETRY_S)
             else:
-                self._take(page)
+                self._apply_page(page)
 
     async def _read(self) -> Page:
         """Read on; a long poll that lags behind an append is given up for a new connection."""
         if not self._readable:
-            return await self.platform.read(self.stream, self._next, limit=READ_LIMIT)
+            return await self.platform.read(self.stream, self._next_offset, limit=READ_LIMIT)
         wait_s = self.settings.platform.long_poll_s
-        if self.clock.monotonic() < self._careful_until:
-            wait_s = min(wait_s, CAREFUL_POLL_S)
-        if self._end <= self._next:
+        if self.clock.monotonic() < self._short_polls_until:
+            wait_s = min(wait_s, SHORT_POLL_WAIT_S)
+        if self._end_offset <= self._next_offset:
             self._appended.clear()
         poll = asyncio.create_task(
-            self.platform.read(self.stream, self._next, limit=READ_LIMIT, wait_s=wait_s)
+            self.platform.read(self.stream, self._next_offset, limit=READ_LIMIT, wait_s=wait_s)
         )
         appended = asyncio.create_task(self._appended.wait())
         try:
             await asyncio.wait({poll, appended}, return_when=asyncio.FIRST_COMPLETED)
             if not poll.done():
-                await asyncio.wait({poll}, timeout=READ_LAG_S)
+                await asyncio.wait({poll}, timeout=MAX_POLL_LAG_S)
             if poll.done():
                 return poll.result()
-            self._careful_until = self.clock.monotonic() + CAREFUL_S
-            return await self.platform.read(self.stream, self._next, limit=READ_LIMIT)
+            self._short_polls_until = self.clock.monotonic() + SHORT_POLL_PERIOD_S
+            return await self.platform.read(self.stream, self._next_offset, limit=READ_LIMIT)
         finally:
             poll.cancel()
             appended.cancel()
 
-    def _take(self, page: Page) -> None:
-        if page.end < self._next:
+    def _apply_page(self, page: Page) -> None:
+        if page.end < self._next_offset:
             logging.warning("the claims' stream begins anew; keys claimed before stay known here")
-            self._next, self._end = page.oldest, 0
+            self._next_offset, self._end_offset = page.oldest, 0
             return
         for record in page.records:
             value = self.ledger.fold(record)
             if isinstance(value, ClaimRecord):
-                self._lost_ids.discard(value.id)
-                self.claimant.decide(value)
+                self._unconfirmed_ids.discard(value.id)
+                self.claimant.on_claim_read(value)
         metrics.log_reads.add(len(page.records))
-        self._next = page.next_offset
+        self._next_offset = page.next_offset
         if page.next_offset >= page.end:
             self._note_readable(True)
 
--- a/mustardgap/claims.py
+++ b/mustardgap/claims.py
@@ -45,7 +45,7 @@
     body: str = ""
     kept: bool = False
 
-    def answer(self) -> bytes:
+    def decode_body(self) -> bytes:
         """The body that was kept."""
         return b64decode(self.body)
 
@@ -60,17 +60,17 @@
 EndRecord = ReleaseRecord | DoneRecord | LostRecord
 KeyRecord = ClaimRecord | ReleaseRecord | DoneRecord | LostRecord
 
-EntryState = Literal["running", "done", "lost"]
+KeyState = Literal["running", "done", "lost"]
 
 
-class Entry(NamedTuple):
+class KeyEntry(NamedTuple):
     """The claim that holds a key; ``offset`` is that of its end, -1 while it runs."""
 
     id: str
     fingerprint: str
     until: float
     time: float
-    state: EntryState = "running"
+    state: KeyState = "running"
     offset: int = -1
 
 
@@ -84,7 +84,7 @@
     return xxh3_128_hexdigest(f"{method}\0{target}\0".encode() + body)
 
 
-def make_end(claim_id: str, key: str, outcome: Outcome) -> EndRecord:
+def make_end_record(claim_id: str, key: str, outcome: Outcome) -> EndRecord:
     """The record that ends a claim with the outcome of its request."""
     if isinstance(outcome, NotRun):
         return ReleaseRecord(id=claim_id, key=key)
@@ -123,8 +123,8 @@
 
     def __init__(self, *, ttl_s: float) -> None:
         self.ttl_s = ttl_s
-        self.by_key: OrderedDict[str, Entry] = OrderedDict()
-        self._void: OrderedDict[str, float] = OrderedDict()
+        self.by_key: OrderedDict[str, KeyEntry] = OrderedDict()
+        self._voided_at_by_id: OrderedDict[str, float] = OrderedDict()
 
     def fold(self, record: LogRecord) -> KeyRecord | None:
         """Take a record in.
@@ -134,35 +134,35 @@
         value = decode(record.value)
         self._expire(record.time - self.ttl_s)
         if isinstance(value, ClaimRecord):
-            self._claim(value, record.time)
+            self._apply_claim(value, record.time)
         elif value is not None:
-            self._end(value, record)
+            self._apply_end(value, record)
         return value
 
-    def _claim(self, claim: ClaimRecord, time: float) -> None:
+    def _apply_claim(self, claim: ClaimRecord, time: float) -> None:
         holder = self.by_key.get(claim.key)
         if holder is not None:
             if holder.id != claim.id:
                 # Its caller is refused. A second copy that comes when the key is free again would
                 # hold the key for nobody, and who asks would be told that it may have run.
-                self._void[claim.id] = time
+                self._voided_at_by_id[claim.id] = time
             return
-        if claim.id not in self._void:
-            self.by_key[claim.key] = Entry(claim.id, claim.fingerprint, claim.until, time)
+        if claim.id not in self._voided_at_by_id:
+            self.by_key[claim.key] = KeyEntry(claim.id, claim.fingerprint, claim.until, time)
 
-    def _end(self, end: EndRecord, record: LogRecord) -> None:
+    def _apply_end(self, end: EndRecord, record: LogRecord) -> None:
         entry = self.by_key.get(end.key)
-        holds = entry is not None and entry.id == end.id
+        is_holder = entry is not None and entry.id == end.id
         if isinstance(end, ReleaseRecord):
-            self._void[end.id] = record.time
-            if holds:
+            self._voided_at_by_id[end.id] = record.time
+            if is_holder:
                 del self.by_key[end.key]
-        elif holds and entry is not None and entry.state != "done":
-            state: EntryState = "done" if isinstance(end, DoneRecord) else "lost"
+        elif is_holder and entry is not None and entry.state != "done":
+            state: KeyState = "done" if isinstance(end, DoneRecord) else "lost"
             self.by_key[end.key] = entry._replace(state=state, offset=record.offset)
 
     def _expire(self, before: float) -> None:
         while self.by_key and next(iter(self.by_key.values())).time < before:
             self.by_key.popitem(last=False)
-        while self._void and next(iter(self._void.values())) < before:
-            self._void.popitem(last=False)
+        while self._voided_at_by_id and next(iter(self._voided_at_by_id.values())) < before:
+            self._voided_at_by_id.popitem(last=False)
--- a/mustardgap/daemons.py
+++ b/mustardgap/daemons.py
@@ -14,7 +14,7 @@
 from .brokers import Broker
 from .exceptions import MustardgapError
 from .parts import Parts
-from .readiness import current
+from .readiness import is_current
 from .settings import Settings
 from .status_codes import Code
 from .supervisors import Supervisor
@@ -168,7 +168,7 @@
         log, members = self.parts.log, self.parts.members
         known = members.electorate()
         reachable = known & {m.host for m in members.live()}
-        return log.current and current(
+        return log.current and is_current(
             age_s=log.fresh_s(),
             stale_after_s=self.settings.platform.stale_after_s,
             reachable=len(reachable),
--- a/mustardgap/enrolments.py
+++ b/mustardgap/enrolments.py
@@ -4,7 +4,7 @@
 
 from .brokers import Broker
 from .duties import Duties
-from .entries import Entries
+from .entries import EntryMembership
 from .exceptions import MustardgapError
 from .members import Members
 from .models import EntryBody, LogRecord
@@ -37,7 +37,7 @@
         duties = Duties(
             members=members, clock=timers.clock, takeover_s=settings.capacity.takeover_s
         )
-        self.entries = Entries(state=log.state, members=members, duties=duties)
+        self.entries = EntryMembership(state=log.state, members=members, duties=duties)
         self._stale_s = settings.platform.stale_after_s
 
     def follow(self, way: Way) -> None:
@@ -75,7 +75,7 @@
         if run == ("gone", self.members.me.incarnation):
             # The others have taken this run's share over; only a new run may go on.
             self.members.renew()
-        for body in self.entries.due():
+        for body in self.entries.due_records():
             await self._write(body)
 
     async def _write(self, body: EntryBody) -> None:
--- a/mustardgap/entries.py
+++ b/mustardgap/entries.py
@@ -6,7 +6,7 @@
 from .states import State
 
 
-class Entries:
+class EntryMembership:
     """Joins this daemon, and finds which others are gone.
 
     :param state: the folded state.
@@ -20,22 +20,26 @@
         self.duties = duties
         self.may_join = True
 
-    def due(self) -> list[EntryBody]:
+    def due_records(self) -> list[EntryBody]:
         """The records that are this daemon's to write now."""
         me = self.members.me
         own = self.state.entries_by_host.get(me.host)
         if not self.is_joined():
             if not self.may_join or me.state is not MemberState.live:
                 return []
-            return [_step(own, me.host, me.incarnation, "join")]
-        return [self._gone(entry) for entry in self._lost() if self._is_due(entry)]
+            return [_make_record(own, me.host, me.incarnation, "join")]
+        return [
+            self._make_gone_record(entry)
+            for entry in self._missing_entries()
+            if self._is_due(entry)
+        ]
 
     def leave(self) -> EntryBody | None:
         """The record by which this daemon leaves, None when it isn't joined."""
         self.may_join = False
         me = self.members.me
         own = self.state.entries_by_host.get(me.host)
-        return _step(own, me.host, me.incarnation, "leave") if self.is_joined() else None
+        return _make_record(own, me.host, me.incarnation, "leave") if self.is_joined() else None
 
     def is_joined(self) -> bool:
         """Whether this run is joined."""
@@ -43,7 +47,7 @@
         own = self.state.entries_by_host.get(me.host)
         return own is not None and (own["state"], own["incarnation"]) == ("joined", me.incarnation)
 
-    def _lost(self) -> list[EntryState]:
+    def _missing_entries(self) -> list[EntryState]:
         """The joined that are dead as seen from here, and that the platform lists no longer.
 
         A host that is cut off with a few others sees all the rest dead; it writes nothing, because
@@ -52,8 +56,8 @@
         members = self.members
         joined = [e for e in self.state.entries_by_host.values() if e["state"] == "joined"]
         live = {(m.host, m.incarnation) for m in members.live()}
-        seen = sum((e["host"], e["incarnation"]) in live for e in joined)
-        if 2 * seen <= len(joined) or not members.listed_hosts:
+        live_count = sum((e["host"], e["incarnation"]) in live for e in joined)
+        if 2 * live_count <= len(joined) or not members.listed_hosts:
             return []
         return [e for e in joined if e["host"] not in members.listed_hosts and self._is_dead(e)]
 
@@ -68,10 +72,10 @@
         self.duties.note_attempt(key)
         return True
 
-    def _gone(self, entry: EntryState) -> EntryBody:
-        return _step(entry, entry["host"], entry["incarnation"], "gone")
+    def _make_gone_record(self, entry: EntryState) -> EntryBody:
+        return _make_record(entry, entry["host"], entry["incarnation"], "gone")
 
 
-def _step(entry: EntryState | None, host: str, incarnation: int, step: str) -> EntryBody:
+def _make_record(entry: EntryState | None, host: str, incarnation: int, step: str) -> EntryBody:
     base = entry["epoch"] if entry is not None else 0
     return EntryBody(host=host, base=base, incarnation=incarnation, step=step)  # type: ignore[typeddict-item]
--- a/mustardgap/keys.py
+++ b/mustardgap/keys.py
@@ -8,7 +8,7 @@
 
 from . import claims, metrics, status_codes
 from .claim_logs import ClaimLog, HasLog
-from .claims import ClaimRecord, DoneRecord, Entry, ReleaseRecord
+from .claims import ClaimRecord, DoneRecord, KeyEntry, ReleaseRecord
 from .exceptions import LogExpired, PlatformError
 from .outcomes import AlreadyRan, Answered, NotRun, Outcome, Unknown
 from .settings import Settings
@@ -17,14 +17,14 @@
 from .upstreams import Request
 
 MAX_KEY_LENGTH = 255
-RECENT_ANSWERS = 1000
+MAX_RECENT_ANSWERS = 1000
 # How far the clocks of entry hosts may differ before a run that goes on is taken for lost.
-SKEW_S = 2.0
+MAX_CLOCK_SKEW_S = 2.0
 RETRY_AFTER_S = 2.0
 # After the log has come back, claimants have this long to put there what ended meanwhile: eight of
 # the pauses after which they try that again.
-END_GRACE_S = 2.0
-FLUSH_CHECK_S = 0.02
+END_APPEND_GRACE_S = 2.0
+FLUSH_POLL_S = 0.02
 
 
 class Claim(NamedTuple):
@@ -63,7 +63,7 @@
         self._log = ClaimLog(settings=settings, platform=platform, claimant=self, clock=self.clock)
         self._pending_by_id: dict[str, _Pending] = {}
         self._pending_by_key: dict[str, _Pending] = {}
-        self._recent: OrderedDict[str, DoneRecord] = OrderedDict()
+        self._recent_answers: OrderedDict[str, DoneRecord] = OrderedDict()
 
     async def run(self) -> None:
         """Read and append until cancelled."""
@@ -79,9 +79,9 @@
         :return: whether they do.
         """
         deadline = self.clock.monotonic() + timeout_s
-        while not self._log.is_settled() and self.clock.monotonic() < deadline:
-            await self.clock.sleep(FLUSH_CHECK_S)
-        return self._log.is_settled()
+        while not self._log.is_flushed() and self.clock.monotonic() < deadline:
+            await self.clock.sleep(FLUSH_POLL_S)
+        return self._log.is_flushed()
 
     async def claim(self, service: str, request: Request, *, deadline: float) -> Claim | Outcome:
         """Claim the key of a request, or tell what became of it.
@@ -98,8 +98,8 @@
         key = claims.hash_key(service, text)
         fingerprint = claims.make_fingerprint(request.method, request.target, request.body)
         result = await self._claim(key, fingerprint, deadline)
-        name = "claimed" if isinstance(result, Claim) else result.code.name
-        metrics.keys_claimed.add(1, {"result": name})
+        result_name = "claimed" if isinstance(result, Claim) else result.code.name
+        metrics.keys_claimed.add(1, {"result": result_name})
         return result
 
     def finish(self, claim: Claim, outcome: Outcome) -> None:
@@ -108,15 +108,15 @@
         :param claim: the claim, which ends.
         :param outcome: what became of the request.
         """
-        end = claims.make_end(claim.id, claim.key, outcome)
+        end = claims.make_end_record(claim.id, claim.key, outcome)
         if isinstance(end, DoneRecord):
-            self._keep(end)
+            self._cache_answer(end)
         self._log.put(end)
 
     async def _claim(self, key: str, fingerprint: str, deadline: float) -> Claim | Outcome:
         entry = self._log.ledger.by_key.get(key)
         if entry is not None:
-            return await self._settle(key, entry, fingerprint)
+            return await self._resolve_held_key(key, entry, fingerprint)
         pending = self._pending_by_key.get(key)
         if pending is not None:
             same = pending.record.fingerprint == fingerprint
@@ -132,19 +132,19 @@
         return self._log.why_unusable()
 
     async def _claim_new(self, key: str, fingerprint: str, deadline: float) -> Claim | Outcome:
-        left = deadline - self.clock.monotonic()
+        remaining_s = deadline - self.clock.monotonic()
         record = ClaimRecord(
             id=uuid.uuid4().hex,
             key=key,
             fingerprint=fingerprint,
             member=self.member,
-            until=self.clock.wall() + left,
+            until=self.clock.wall() + remaining_s,
         )
         pending = _Pending(record, asyncio.get_running_loop().create_future())
         self._pending_by_id[record.id] = self._pending_by_key[key] = pending
         self._log.put(record)
         try:
-            async with asyncio.timeout(min(left, self.settings.requests.claim_timeout_s)):
+            async with asyncio.timeout(min(remaining_s, self.settings.requests.claim_timeout_s)):
                 won = await pending.decided
         except TimeoutError:
             self._abandon(record)
@@ -162,7 +162,7 @@
         entry = self._log.ledger.by_key.get(key)
         if entry is None:
             return _not_run(status_codes.KEY_IN_USE)
-        return await self._settle(key, entry, fingerprint)
+        return await self._resolve_held_key(key, entry, fingerprint)
 
     def _abandon(self, record: ClaimRecord) -> None:
         # The claim may stand on the log already, or may come to stand there later because its
@@ -171,25 +171,29 @@
         self._log.withdraw(record)
         self._log.put(ReleaseRecord(id=record.id, key=record.key))
 
-    async def _settle(self, key: str, entry: Entry, fingerprint: str) -> Outcome:
+    async def _resolve_held_key(self, key: str, entry: KeyEntry, fingerprint: str) -> Outcome:
         """Tell what became of the request that holds a key."""
         if entry.fingerprint != fingerprint:
             return _not_run(status_codes.KEY_REUSED)
-        if entry.id in self._recent:
-            return _replay(self._recent[entry.id])
+        if entry.id in self._recent_answers:
+            return _replay(self._recent_answers[entry.id])
         if entry.state == "done":
             return await self._read_answer(entry)
-        left = entry.until + SKEW_S - self.clock.wall()
-        if entry.state != "lost" and left <= 0 and self._log.read_for_s() < END_GRACE_S:
+        remaining_s = entry.until + MAX_CLOCK_SKEW_S - self.clock.wall()
+        if (
+            entry.state != "lost"
+            and remaining_s <= 0
+            and self._log.readable_for_s() < END_APPEND_GRACE_S
+        ):
             # While the log is away a claimant can't put the end of its request there. The caller
             # would be told to look up by hand what it gets as an answer some seconds later.
             detail = "an earlier request with this key may have ended; the log wasn't readable"
             return _not_run(status_codes.KEY_UNDECIDED, detail)
-        if entry.state == "lost" or left <= 0:
+        if entry.state == "lost" or remaining_s <= 0:
             return Unknown(code=status_codes.UNKNOWN_KEY)
-        return _not_run(status_codes.KEY_IN_USE, retry_after=min(2.0, left))
+        return _not_run(status_codes.KEY_IN_USE, retry_after=min(2.0, remaining_s))
 
-    async def _read_answer(self, entry: Entry) -> Outcome:
+    async def _read_answer(self, entry: KeyEntry) -> Outcome:
         # Answers stay on the log and aren't held here: an hour of them would not fit.
         try:
             async with asyncio.timeout(self.settings.requests.claim_timeout_s):
@@ -202,28 +206,28 @@
         done = claims.decode(page.records[0].value) if page.records else None
         if not isinstance(done, DoneRecord) or done.id != entry.id:
             return AlreadyRan(status=0, detail="it ran; its answer is no longer kept")
-        self._keep(done)
+        self._cache_answer(done)
         return _replay(done)
 
-    def _keep(self, done: DoneRecord) -> None:
-        self._recent[done.id] = done
-        while len(self._recent) > RECENT_ANSWERS:
-            self._recent.popitem(last=False)
+    def _cache_answer(self, done: DoneRecord) -> None:
+        self._recent_answers[done.id] = done
+        while len(self._recent_answers) > MAX_RECENT_ANSWERS:
+            self._recent_answers.popitem(last=False)
 
-    def decide(self, record: ClaimRecord) -> None:
+    def on_claim_read(self, record: ClaimRecord) -> None:
         """Take in that a claim was read back: the ledger says who holds the key."""
         pending = self._pending_by_id.get(record.id)
         if pending is not None and not pending.decided.done():
             entry = self._log.ledger.by_key.get(record.key)
             pending.decided.set_result(entry is not None and entry.id == record.id)
 
-    def refuse(self, record: ClaimRecord) -> None:
+    def on_claim_failed(self, record: ClaimRecord) -> None:
         """Take in that a claim certainly doesn't stand on the log."""
         pending = self._pending_by_id.get(record.id)
         if pending is not None and not pending.decided.done():
             pending.decided.set_result(None)
 
-    def waits_for(self, record: ClaimRecord) -> bool:
+    def is_claim_pending(self, record: ClaimRecord) -> bool:
         """Whether a request still waits for a claim."""
         pending = self._pending_by_id.get(record.id)
         return pending is not None and not pending.decided.done()
@@ -240,6 +244,6 @@
     return Answered(
         status=done.status,
         headers=done.headers,
-        body=done.answer(),
+        body=done.decode_body(),
         code=status_codes.REPLAYED,
     )
--- a/mustardgap/parts.py
+++ b/mustardgap/parts.py
@@ -17,7 +17,7 @@
 from .operators import Explainer, Operators
 from .peers import Peers
 from .presence import Presence
-from .readiness import Readiness, knows
+from .readiness import Readiness, is_current_since
 from .relays import Relays
 from .sessions import Sessions
 from .settings import Settings
@@ -194,7 +194,7 @@
     def _may_use(self, since: float) -> bool:
         """Return whether the state is current by what was learned since a monotonic time."""
         now = self.timers.clock.monotonic()
-        return self.log.current and knows(
+        return self.log.current and is_current_since(
             known_at=now - self.log.fresh_s(),
             now=now,
             since=since,
--- a/mustardgap/readiness.py
+++ b/mustardgap/readiness.py
@@ -39,20 +39,20 @@
         """Give a reason not to be ready; it stands until ``clear``."""
         before = self.ready
         self._reasons_by_part[part] = why
-        self._tell(before)
+        self._notify_if_changed(before)
 
     def clear(self, part: str) -> None:
         """Take a part's reason back."""
         before = self.ready
         self._reasons_by_part.pop(part, None)
-        self._tell(before)
+        self._notify_if_changed(before)
 
     def stop(self) -> None:
         """Be unready for good: the daemon is stopping."""
         self.stopping = True
         self.block("daemon", "stopping")
 
-    def _tell(self, before: bool) -> None:
+    def _notify_if_changed(self, before: bool) -> None:
         if self.ready == before:
             return
         logging.info("ready=%s reason=%r", self.ready, self.reason)
@@ -61,7 +61,7 @@
             callback(self.ready)
 
 
-def knows(
+def is_current_since(
     *, known_at: float, now: float, since: float, stale_after_s: float, members: Members
 ) -> bool:
     """Whether this entry host has known since a moment which state is in force.
@@ -85,12 +85,12 @@
     long_awake = now - since >= members.settings.peers.suspect_s
     heard = {m.host for m in members.live() if long_awake or m.seen >= since}
     heard.add(members.me.host)
-    return current(
+    return is_current(
         age_s=age_s, stale_after_s=stale_after_s, reachable=len(known & heard), known=len(known)
     )
 
 
-def current(*, age_s: float, stale_after_s: float, reachable: int, known: int) -> bool:
+def is_current(*, age_s: float, stale_after_s: float, reachable: int, known: int) -> bool:
     """Whether this entry host can know which configuration is in force.
 
     With the log in reach, directly or by a peer that reads it, what was accepted is here within
--- a/tools/fake_logs.py
+++ b/tools/fake_logs.py
@@ -7,10 +7,10 @@
 
 from mustardgap import folds, records
 from mustardgap.duties import Duties
-from mustardgap.entries import Entries
+from mustardgap.entries import EntryMembership
 from mustardgap.members import Members
 from mustardgap.models import LogRecord
-from mustardgap.readiness import knows
+from mustardgap.readiness import is_current_since
 from mustardgap.states import State
 from mustardgap.timers import Clock
 
@@ -67,11 +67,11 @@
         self.way: Any = None
         self.peers: Callable[[], list[FakeReader]] = list
         duties = Duties(members=members, clock=clock, takeover_s=TAKEOVER_S)
-        self.entries = Entries(state=self.state, members=members, duties=duties)
+        self.entries = EntryMembership(state=self.state, members=members, duties=duties)
 
     def may_use(self, since: float) -> bool:
         """Whether this host knows which state is in force, as the daemon does."""
-        return knows(
+        return is_current_since(
             known_at=self.known_at,
             now=self.clock.monotonic(),
             since=since,
@@ -119,6 +119,6 @@
         if entry is not None and ended and entry["state"] == "gone":
             # The others have taken this run's share over; only a new run may go on.
             self.members.renew()
-        for body in self.entries.due():
+        for body in self.entries.due_records():
             self.log.append(body, writer=self.members.me.id)
         self.read()
