--- a/mustardgap/claim_logs.py
+++ b/mustardgap/claim_logs.py
@@ -15,7 +15,7 @@
 from .settings import Settings
 from .timers import Clock
 
-MAX_BATCH_SIZE = 200
+MAX_BATCH_RECORDS = 200
 MAX_CONCURRENT_APPENDS = 4
 END_LINGER_S = 0.05
 READ_LIMIT = 1000
@@ -132,7 +132,7 @@
                 await asyncio.wait(self._appends, return_when=asyncio.FIRST_COMPLETED)
             while (wait_s := budget.wait_s("actions")) > 0.0:
                 await self.clock.sleep(wait_s)
-            batch, self._queue = self._queue[:MAX_BATCH_SIZE], self._queue[MAX_BATCH_SIZE:]
+            batch, self._queue = self._queue[:MAX_BATCH_RECORDS], self._queue[MAX_BATCH_RECORDS:]
             if not self._queue:
                 self._queued.clear()
             if batch:
