--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,12 +1,12 @@
-Feature: Records that can't be read cost themselves only
-  Others write to the store, too, and nobody checks what they write. The list of executors, the operator's
-  records, machines and our own records are each decoded by type, range and named states.
+Feature: Records that can't be read affect nothing else
+  Other programs write to the store, too, without any check. The list of executors, the operator's
+  records, machines and our own records are decoded with checks of types, ranges and state names.
 
-  Scenario: An executor's entry as it should be
+  Scenario: A valid executor's entry
     Then an executor's entry with nothing changed names the executor
 
-  Scenario Outline: An executor's entry with <field> <change> names no executor
-    Tasks would wait for an executor that has no room or no address, or be sent to one that leaves.
+  Scenario Outline: An executor's entry with <field> <change> is rejected
+    Otherwise tasks would wait for an executor without capacity or address, or go to a leaving one.
 
     Then an executor's entry with <field> <change> is invalid
 
@@ -63,7 +63,7 @@
       | remainingMs | -1                    |
 
   Scenario Outline: An executor with the capacity <capacity> is known, and holds <held>
-    Guards against an executor that has shrunk to nothing and is used by its capacity of before.
+    Guards against using the former capacity of an executor that now reports none.
 
     Then an executor's entry with the capacity <capacity> holds <held>
 
@@ -74,51 +74,52 @@
       | {"cpu":500,"memMb":0,"gpu":0}   | nothing     |
       | {"cpu":500,"memMb":512,"gpu":0} | a half core |
 
-  Scenario Outline: An entry that is <bytes> names no executor
+  Scenario Outline: An entry that is <bytes> is rejected
     Then an entry that is <bytes> is invalid
 
     Examples:
       | bytes           |
-      | nothing in JSON |
+      | not JSON        |
       | cut off         |
       | not in UTF-8    |
       | a list          |
       | null            |
       | a number        |
 
-  Scenario: Drawn entries are read as they are meant, or not at all
-    Then drawn entries are read as they are meant, or are invalid
+  Scenario: Drawn entries are decoded correctly, or not at all
+    Then drawn entries are decoded correctly, or are invalid
 
   Scenario: A list of executors with bad entries among good ones
-    Another writer adds entries that can't be read, and repeats them. The executors beside them are used;
-    one line tells of each bad entry, however often it is written.
+    Another writer adds entries that can't be read, and repeats them. The other executors are used,
+    while each bad entry is logged once, however often it is written.
 
     When a list holds good entries, and bad ones that are written 20 times
-    Then the good ones are known, and a line tells of each bad one
+    Then the good ones are known, and each bad one is logged once
 
-  Scenario: Records of the store without a key that can be read
-    When a read of the store has a key in no encoding, a key beyond its record, and an answer cut short
-    Then the other records are read, and the next read begins at the one that was cut short
+  Scenario: Records of the store whose key can't be read
+    When a read of the store has a key not in UTF-8, a key beyond its record, and a truncated answer
+    Then the other records are read, and the next read begins at the truncated one
 
   Scenario: A page of newest records with items that can't be read
     When a page of newest records has an item without a key, and one whose value isn't in base64
-    Then the other records are read, and the one with a key is passed on as it stands
+    Then the other records are read, and the one with a key is passed on unchanged
 
-  Scenario: An executor whose entry is overwritten keeps what it runs, and gets nothing new
-    The caller's jobs run. Another writer puts what can't be read over every executor's entry, and no
-    executor writes again for a while. What runs goes on under its leases; nothing is started, here or
-    elsewhere, until an executor's own entry is back. Taken for gone, its tasks would run twice.
+  Scenario: An executor whose entry is overwritten keeps its runs, and gets no new ones
+    While jobs run, another writer overwrites the entries of all executors with bytes that can't be
+    read, and no executor rewrites its entry for a while. Running tasks continue under their leases.
+    Nothing is started anywhere until an executor's own entry is back. If the executors were treated
+    as gone, their tasks would run twice.
 
-    When all entries are overwritten for 6 s while jobs run, and a job is handed in
-    Then what ran has gone on, and nothing was started until the entries were back
+    When all entries are overwritten for 6 s while jobs run, and a job is submitted
+    Then running tasks have continued, and nothing was started until the entries were back
     And no promise was broken
 
-  Scenario Outline: A new owner finds a record of ours that can't be read: <record>
-    The owner dies, and the store holds a record that its successor can't decode. The other jobs end.
+  Scenario Outline: A new owner finds a record of its shard that can't be read: <record>
+    The owner dies, and the store has a record that its successor can't decode. The other jobs end.
 
     When an owner dies and the record of <record> can't be read
     Then all other jobs have ended as completed, and nothing of the job has run twice
-    And a line tells of the record
+    And the unreadable record is logged
 
     Examples:
       | record                    |
@@ -129,11 +130,11 @@
       | what the fleet has learned |
       | orders to machines        |
 
-  Scenario: A machine's row that can't be read is no machine that is gone
-    The list of machines has lost the row of one whose executor works. Its runs go on: an executor that no
-    machine names would be given up, and its tasks started elsewhere beside it.
+  Scenario: A machine whose row can't be read isn't treated as gone
+    The list of machines lacks the row of one whose executor runs tasks. Its runs continue;
+    otherwise the executor would be declared gone, and its tasks started elsewhere at the same time.
 
     When a machine's row can't be read for 8 s while its executor runs jobs
     Then all jobs have ended as completed
     And no promise was broken
-    And no executor was given up
+    And no executor was declared gone
--- a/features/keys.feature
+++ b/features/keys.feature
@@ -1,35 +1,35 @@
 Feature: the same Idempotency-Key runs once, through whichever entry host
-  Entry hosts hold nothing in common but the platform's log. The executors' own record of what ran
-  under a key is the oracle.
+  The platform's log is all that entry hosts share. The results are checked against what the
+  executors themselves recorded as run under a key.
 
-  Scenario Outline: the same key through two entry hosts at once, while the log's appends are <fault>
+  Scenario Outline: the same key through two entry hosts at once, while log appends are <fault>
     Both hosts claim the key at about the same time. The first claim on the log runs; the other host
-    reads it and says so. Asked again, both give the answer of the one run, whatever became of the
-    claims on their way to the log.
+    reads that claim and reports that the key is in use. A retry gets the answer of the one run from
+    both, whatever happened to the appends of the claims.
 
     Given keys with two entry hosts
-    When keys' log has its appends <fault>
+    When keys' log has appends that are <fault>
     And keys are sent 4 times at once through both entry hosts
     Then keys have run once
-    And keys asked again through either are replayed
+    And keys sent again through either host are replayed
 
     Examples:
-      | fault     |
-      | well      |
-      | lost once |
-      | doubled   |
-      | slow 0.3  |
+      | fault      |
+      | successful |
+      | lost once  |
+      | doubled    |
+      | slow 0.3   |
 
-  Scenario Outline: a log whose appends are <fault> gives a true refusal and no run
-    The claim can't be shown to stand on the log, so nothing may run. The caller is told so at once,
-    or after a bounded wait where it takes one to find out, and may come back with the same key.
+  Scenario Outline: a request whose log appends are <fault> is refused and not run
+    The claim can't be confirmed to be on the log, so nothing may run. The caller is told so at
+    once, or after a bounded wait if the failure takes time to detect, and may retry the same key.
 
     Given keys with two entry hosts
-    When keys' log has its appends <fault>
+    When keys' log has appends that are <fault>
     And keys are sent once
     Then keys are refused with 1107 and have not run
-    When keys' log is well again
-    Then keys asked again run once
+    When keys' log works again
+    Then keys sent again run once
 
     Examples:
       | fault         |
@@ -39,43 +39,43 @@
       | lost, unread  |
       | doubled, down |
 
-  Scenario: once the log is known to be down a refusal doesn't wait for it
+  Scenario: once the log is known to be down, requests are refused without a wait
     Given keys with two entry hosts
-    When keys' log has its appends silent
-    And keys are sent until one was refused for it
+    When keys' log has appends that are silent
+    And keys are sent until one is refused because of it
     Then keys sent then are refused without a wait
 
-  Scenario Outline: a claimant that is <fate> leaves a key that runs at most once
-    An entry host has claimed the key and its executor runs the request when the host is lost.
-    Another host says that the key is in use while the first could still answer, then that the
-    request may have run.
+  Scenario Outline: a key runs at most once if its claimant is <failure>
+    An entry host fails after it has claimed the key, while the executor runs the request. Another
+    host reports the key as in use while the first could still answer, then that the request may
+    have run.
 
     Given keys with two entry hosts, the first in a process of its own
-    When keys' claimant is <fate> while its request runs
-    Then keys asked through the other host are in use, then unknown
+    When keys' claimant is <failure> while its request runs
+    Then keys sent through the other host are in use, then unknown
     And keys have run once
 
     Examples:
-      | fate   |
-      | killed |
-      | frozen |
+      | failure |
+      | killed  |
+      | frozen  |
 
-  Scenario: a claimant that freezes before it sends acts on nothing when it wakes
-    Its claim stands on the log, its request's time passes while it is stopped, then it runs again.
-    The caller has gone long ago; running the request now could double what was done meanwhile.
+  Scenario: a claimant that freezes before it sends a request doesn't send it when it resumes
+    Its claim is on the log and the request times out while the process is stopped. The caller is
+    gone when it resumes; running the request then could duplicate what was done meanwhile.
 
     Given keys with two entry hosts, the first in a process of its own
     When keys' claimant is frozen between its claim and its request
     Then keys have not run
-    And keys asked again run once
+    And keys sent again run once
 
-  Scenario Outline: a key whose first request <fate> is answered <code> when it is sent again
+  Scenario Outline: a key whose first request had <outcome> is answered <code> when it is sent again
     Given keys with two entry hosts
-    When keys are sent with <fate>
-    Then keys asked again through either are answered <code>
+    When keys are sent with <outcome>
+    Then keys sent again through either host are answered <code>
 
     Examples:
-      | fate                              | code |
+      | outcome                           | code |
       | a small answer                    | 1001 |
       | an answer too large to keep       | 1002 |
       | an answer passed on               | 1002 |
@@ -87,26 +87,27 @@
       | another body                      | 1109 |
       | a forgotten key                   | 1000 |
 
-  Scenario: a key whose request ended while the log was down isn't called unknown
-    An entry host has claimed the key and answered its caller, and can't put that on the log. The same
-    request comes through another host, after the claim's time: what that host has read is old. It was
-    told that it may have run and should be looked up, where coming back later gives the answer.
+  Scenario: a key whose request ended while the log was down isn't reported as unknown
+    An entry host has claimed the key and answered its caller, but can't append that to the log. The
+    same request arrives through another host after the claim's time; the records there are old.
+    It must be told to retry later, which gets the answer. A reply that the request may have run
+    would make the caller check by hand.
 
     Given keys with two entry hosts
     When keys' claimant answers while the log is down, and the claim's time passes
-    Then keys asked through the other host are refused with 1107
-    And keys are replayed once the log is back
+    Then keys sent through the other host are refused with 1107
+    And keys are replayed once the log works again
 
-  Scenario: an entry host that starts later knows the keys of the ones before it
+  Scenario: an entry host that starts later knows the keys of its predecessors
     Given keys with two entry hosts
     When keys are sent with a small answer
     And keys' entry hosts are replaced
-    Then keys asked again through either are answered 1001
+    Then keys sent again through either host are answered 1001
 
-  Scenario: however claims meet, a key is executed at most once
-    Claims, releases and ends of three hosts go to a log that loses answers, delays, doubles and
-    refuses appends, and hosts stop at any point. Drawn over many interleavings, no key is executed
-    twice, and a claim that nobody will run is never left to look as if it ran.
+  Scenario: however claims interleave, a key is executed at most once
+    Three hosts append claims, releases and ends to a log that loses answers and delays, doubles and
+    refuses appends; hosts stop at any point. In many drawn interleavings, no key is executed twice,
+    nor does the log keep a claim that won't be run as one that may have run.
 
     When keys' claims interleave as drawn
     Then keys were executed at most once, and some were refused and some replayed
--- a/features/steps/entries_steps.py
+++ b/features/steps/entries_steps.py
@@ -1,4 +1,4 @@
-"""Steps of records that can't be read: decoding alone, and a world of owners on virtual time."""
+"""Steps for records that can't be read: decoding alone, and owners simulated on virtual time."""
 
 import asyncio
 import struct
@@ -44,7 +44,7 @@
 }
 REQUIRED = sorted(VALID_ENTRY.keys() - {"machine"})
 INVALID_ENTRIES = {
-    "nothing in JSON": b"hello",
+    "not JSON": b"hello",
     "cut off": msgspec.json.encode(VALID_ENTRY)[:-7],
     "not in UTF-8": msgspec.json.encode(VALID_ENTRY).replace(b"quoting", b"quot\xff\xfe"),
     "a list": b"[1,2]",
@@ -54,7 +54,7 @@
 
 
 def entry_with(**changes):
-    """What decoding makes of a good entry with some fields changed."""
+    """Decode a valid entry with some fields changed."""
     return decode_entry("x1", msgspec.json.encode({**VALID_ENTRY, **changes}))
 
 
@@ -100,7 +100,7 @@
 )
 
 
-@then("drawn entries are read as they are meant, or are invalid")
+@then("drawn entries are decoded correctly, or are invalid")
 def check_drawn(context):
     @profile(max_examples=500, deadline=None, suppress_health_check=list(HealthCheck))
     @drawn(ENTRY_FIELDS, st.integers(0, 400), st.binary(max_size=20))
@@ -138,7 +138,7 @@
     context.board = board
 
 
-@then("the good ones are known, and a line tells of each bad one")
+@then("the good ones are known, and each bad one is logged once")
 def check_list(context):
     assert sorted(context.board.entries_by_id) == ["x0", "x1", "x2"]
     lines = [line for line in context.events.kept if line["event"] == "executor.invalid"]
@@ -150,9 +150,7 @@
     return struct.pack(">I", len(content)) + content
 
 
-@when(
-    "a read of the store has a key in no encoding, a key beyond its record, and an answer cut short"
-)
+@when("a read of the store has a key not in UTF-8, a key beyond its record, and a truncated answer")
 def read_records(context):
     good = [_record(b"\x02x1value"), _record(b"\x02x2")]
     bad = [_record(b"\x02\xff\xfevalue"), _record(b"\x09x3"), _record(b"")]
@@ -181,14 +179,14 @@
     )
 
 
-@then("the other records are read, and the next read begins at the one that was cut short")
-@then("the other records are read, and the one with a key is passed on as it stands")
+@then("the other records are read, and the next read begins at the truncated one")
+@then("the other records are read, and the one with a key is passed on unchanged")
 def check_read(context):
     assert context.read == context.expected, context.read
     assert context.read.invalid
 
 
-@when("all entries are overwritten for {seconds:d} s while jobs run, and a job is handed in")
+@when("all entries are overwritten for {seconds:d} s while jobs run, and a job is submitted")
 def overwritten(context, seconds):
     context.states = {}
 
@@ -212,7 +210,7 @@
     context.world = play(scene, work_s=1.5)
 
 
-@then("what ran has gone on, and nothing was started until the entries were back")
+@then("running tasks have continued, and nothing was started until the entries were back")
 def check_overwritten(context):
     runs = context.world.fleet.record.runs
     started = [run for run in runs if run.started_at < context.from_s]
@@ -269,7 +267,7 @@
     assert len(done) == len(set(done)), runs
 
 
-@then("a line tells of the record")
+@then("the unreadable record is logged")
 def check_line(context):
     lines = [line for line in context.lines if line["event"] == "record.invalid"]
     assert any(context.key in line["why"] for line in lines), lines
@@ -291,7 +289,7 @@
     context.world = play(scene)
 
 
-@then("no executor was given up")
+@then("no executor was declared gone")
 def check_none_given_up(context):
     gone = [line for line in context.lines if line["event"] == "executor.gone"]
     assert not gone, gone
--- a/features/steps/key_claims_steps.py
+++ b/features/steps/key_claims_steps.py
@@ -1,4 +1,4 @@
-"""Steps for drawn interleavings of claims on a drawn log."""
+"""Steps for drawn interleavings of claims, on a log whose append outcomes are drawn."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class DrawnLog:
-    """A log whose appends end as drawn; those that are delayed land before a later append."""
+    """A log with drawn append outcomes; delayed records are stored after the next append."""
 
     def __init__(self, append_outcomes):
         self.append_outcomes = append_outcomes
@@ -36,13 +36,13 @@
         self.appended = asyncio.Event()
 
     async def append(self, stream, values):
-        append_outcome = self.append_outcomes.pop() if self.append_outcomes else "well"
+        append_outcome = self.append_outcomes.pop() if self.append_outcomes else "successful"
         await asyncio.sleep(0)
         if append_outcome == "refused":
             raise PlatformError(detail="drawn")
         if append_outcome in ("delayed", "stuck"):
             self.delayed += values
-            # One that is stuck lands only when its request has been refused.
+            # A stuck append is stored only after its request has been refused.
             await asyncio.sleep(0.03 if append_outcome == "stuck" else 0)
             raise AnswerLost(detail="drawn")
         for value in values * (2 if append_outcome == "doubled" else 1):
@@ -59,7 +59,7 @@
         self.appended = asyncio.Event()
 
     def claims_held(self):
-        """The ids of the claims that hold a key, to one who reads the log from its start."""
+        """Return the ids of the claims that hold a key, as folded from the start of the log."""
         while self.delayed:
             self._append_record(self.delayed.pop())
         ledger = Ledger(ttl_s=3600.0)
@@ -85,7 +85,8 @@
     request_settings = msgspec.convert(requests, type(settings.requests))
     settings = msgspec.structs.replace(settings, requests=request_settings)
     append_outcomes = st.lists(
-        st.sampled_from(["well", "lost", "delayed", "stuck", "doubled", "refused"]), max_size=12
+        st.sampled_from(["successful", "lost", "delayed", "stuck", "doubled", "refused"]),
+        max_size=12,
     )
     steps = st.lists(
         st.tuples(
--- a/features/steps/keys_steps.py
+++ b/features/steps/keys_steps.py
@@ -1,4 +1,4 @@
-"""Steps for Idempotency-Keys, against the stand-in platform and a drawn log."""
+"""Steps for Idempotency-Keys, against the stand-in platform."""
 
 import asyncio
 import os
@@ -23,7 +23,7 @@
 STREAM = "/log/mustardgap-claims"
 KEY = {"Idempotency-Key": '"order-1"'}
 FAULTS = {
-    "well": [],
+    "successful": [],
     "lost once": [{"fault": "lost", "count": 1}],
     "doubled": [{"fault": "doubled"}],
     "slow 0.3": [{"fault": "slow", "seconds": 0.3}],
@@ -88,7 +88,7 @@
             self.platform.faults.add(Fault(**{"on": STREAM, "method": "POST", **fields}))
 
     async def send(self, entry=0, *, query="", timeout_s=3.0):
-        """Send the request of the key; each time it is the same one."""
+        """Send the request of the key, always the same one."""
         self.entry, self.count = self.entries[entry], 0
         answer = await self.ask("keyed", query=query, timeout_s=timeout_s, headers=KEY)
         if answer.code == 1000:
@@ -105,14 +105,14 @@
     context.query = ""
 
 
-@when("keys' log has its appends {fault}")
+@when("keys' log has appends that are {fault}")
 def fault_log(context, fault):
     context.key_rig.set_log_faults(fault)
 
 
-@when("keys' log is well again")
+@when("keys' log works again")
 def restore_log(context):
-    context.key_rig.set_log_faults("well")
+    context.key_rig.set_log_faults("successful")
 
 
 @when("keys are sent {count:d} times at once through both entry hosts")
@@ -149,7 +149,7 @@
     check_not_run(context)
 
 
-@then("keys asked again run once")
+@then("keys sent again run once")
 def ask_until_run(context):
     async def main():
         async with asyncio.timeout(15):
@@ -161,12 +161,12 @@
     check_ran_once(context)
 
 
-@then("keys asked again through either are replayed")
+@then("keys sent again through either host are replayed")
 def check_replayed(context):
     check_sent_again(context, 1001)
 
 
-@when("keys are sent until one was refused for it")
+@when("keys are sent until one is refused because of it")
 def refuse_one(context):
     context.answer = context.runner.run(context.key_rig.send())
     context.runner.run(asyncio.sleep(1.2))
@@ -181,7 +181,7 @@
             answer = await rig.ask("keyed", headers={"Idempotency-Key": f"k{number}"})
             wait_times_s.append(time.monotonic() - started)
             assert answer.code == 1107, answer.code
-        # One in a quarter of a second tries whether the log works again.
+        # One request per quarter of a second tests whether the log works again.
         assert sum(wait < 0.2 for wait in wait_times_s) >= 5, wait_times_s
 
     context.runner.run(main())
@@ -210,7 +210,7 @@
                 rig.set_log_faults("down")
             await sending
             await asyncio.sleep(0.2)
-            rig.set_log_faults("well")
+            rig.set_log_faults("successful")
         rig.upstreams.faults.clear()
         if outcome == "a forgotten key":
             await forget(rig)
@@ -221,7 +221,7 @@
 
 
 async def forget(key_rig):
-    """Let the time of all keys run out, which is looked at when the next record is read."""
+    """Expire all keys, which takes effect when the next record is read."""
     ledgers = [entry.keys._log.ledger for entry in key_rig.entries]
     for ledger in ledgers:
         ledger.ttl_s = 0.0
@@ -251,16 +251,16 @@
     context.runner.run(main())
 
 
-@then("keys asked through the other host are refused with {code:d}")
+@then("keys sent through the other host are refused with {code:d}")
 def check_other_host_refuses(context, code):
     answer = context.runner.run(context.key_rig.send(1, query="run_s=0.4"))
     assert answer.code == code, answer.code
 
 
-@then("keys are replayed once the log is back")
+@then("keys are replayed once the log works again")
 def check_replayed_later(context):
     async def main():
-        context.key_rig.set_log_faults("well")
+        context.key_rig.set_log_faults("successful")
         async with asyncio.timeout(15):
             while (answer := await context.key_rig.send(1, query="run_s=0.4")).code in (1107, 1108):
                 await asyncio.sleep(0.05)
@@ -283,7 +283,7 @@
     context.runner.run(main())
 
 
-@then("keys asked again through either are answered {code:d}")
+@then("keys sent again through either host are answered {code:d}")
 def check_sent_again(context, code):
     async def main():
         for entry in (0, 1):
@@ -318,7 +318,7 @@
 
 
 async def _send_raw(context, query, timeout_s):
-    """Send the request of the key to the process and leave the answer unread."""
+    """Send the request of the key to the process, and don't read the answer."""
     _, writer = await asyncio.open_connection("127.0.0.1", context.port)
     head = f"POST /quotes/1?{query} HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n"
     key = f'X-Request-Timeout: {timeout_s}\r\nIdempotency-Key: {KEY["Idempotency-Key"]}\r\n'
@@ -343,7 +343,7 @@
     context.runner.run(main())
 
 
-@then("keys asked through the other host are in use, then unknown")
+@then("keys sent through the other host are in use, then unknown")
 def check_in_use_then_unknown(context):
     async def main():
         seen = []
@@ -362,8 +362,8 @@
     rig = context.key_rig
 
     async def main():
-        # The append takes effect after 0.3 s; by then the claimant is stopped, for longer than
-        # the request has time.
+        # The append takes effect after 0.3 s. By then the claimant is stopped, for longer than the
+        # request's timeout.
         rig.platform.faults.add(Fault(fault="slow", on=STREAM, method="POST", seconds=0.3))
         context.writer = await _send_raw(context, "", 1.0)
         await asyncio.sleep(0.15)
--- a/features/support/entries.py
+++ b/features/support/entries.py
@@ -1,4 +1,4 @@
-"""An entry host's request side alone, with fakes for the rest, in this process or its own."""
+"""The request handling of an entry host with fakes for the rest, in this process or its own."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,7 @@
 
 
 def make_state(min_hosts=1):
-    """A folded state with one service, "quotes", under the path /quotes."""
+    """Return a folded state with one service, "quotes", under the path /quotes."""
     service = {"profile": "steady", "team": "t", "path": "/quotes"}
     profile = {"urgency": 1, "limits": LIMITS, "availability": {"min_hosts": min_hosts}}
     return SimpleNamespace(
@@ -46,7 +46,7 @@
 
 
 def make_workers(executors):
-    """A view of workers from (executor, address, rack) rows, a worker for each."""
+    """Return a view of workers from (executor, address, rack) rows, with one worker per row."""
     by_id = {}
     for executor, address, rack in executors:
         info = {"executor": executor, "service": "quotes", "address": address, "slots": 8}
@@ -56,7 +56,7 @@
 
 
 class FirstExecutorSlots:
-    """Gives the first executor that wasn't tried, in order, to anybody; counts what is held."""
+    """Grants every request the first executor that wasn't tried, and counts the slots held."""
 
     def __init__(self, *, executors):
         self.executors = executors
@@ -80,7 +80,7 @@
 
 
 class LeastLoadedSlots(FirstExecutorSlots):
-    """Gives the executor that has the least to do for its weight."""
+    """Grants the executor with the lowest load relative to its weight."""
 
     def __init__(self, *, executors):
         super().__init__(executors=executors)
@@ -104,7 +104,7 @@
 
 
 class EntryHost:
-    """The request side of one entry host; ``executors`` are (executor, address, rack) rows."""
+    """The request handling of an entry host; ``executors`` are (executor, address, rack) rows."""
 
     def __init__(
         self,
--- a/mustardgap/claim_logs.py
+++ b/mustardgap/claim_logs.py
@@ -1,4 +1,4 @@
-"""Reading and writing the stream of claims of Idempotency-Keys."""
+"""Reads and appends to the stream of claims of Idempotency-Keys."""
 
 import asyncio
 import random
@@ -20,42 +20,42 @@
 END_LINGER_S = 0.05
 READ_LIMIT = 1000
 RETRY_S = 0.25
-# How long a long poll may lag behind an append before it is taken for a silent connection, and
-# how long and by how much polls are shortened after that.
+# How long a long poll may lag behind an append before its connection is considered unresponsive;
+# for how long polls are shortened after that, and their longest wait in that period.
 MAX_POLL_LAG_S = 0.1
 SHORT_POLL_PERIOD_S = 30.0
 SHORT_POLL_WAIT_S = 1.0
 
 
 class HasLog(Protocol):
-    """The part of the platform that claims stand on."""
+    """The part of the platform that stores claims."""
 
     async def append(self, stream: str, values: list[Any]) -> int:
-        """Append records together."""
+        """Append records in one call, and return the offset of the first."""
 
     async def read(self, stream: str, start: int, *, limit: int = 500, wait_s: float = 0.0) -> Page:
-        """Read records from an offset on."""
+        """Read records from an offset onwards."""
 
 
 class Claimant(Protocol):
-    """Who waits for claims to be read back."""
+    """Receives the results of claims."""
 
     def on_claim_read(self, record: ClaimRecord) -> None:
-        """A claim was read from the log and the ledger has taken it in."""
+        """Handle a claim that was read from the log and folded into the ledger."""
 
     def on_claim_failed(self, record: ClaimRecord) -> None:
-        """A claim certainly doesn't stand on the log."""
+        """Handle a claim that certainly isn't on the log."""
 
     def is_claim_pending(self, record: ClaimRecord) -> bool:
-        """Whether a claim is still waited for."""
+        """Return whether a request still waits for a claim."""
 
 
 class ClaimLog:
-    """The stream of claims: records go out in bounded numbers of appends and all are read.
+    """The stream of claims: appends records at a limited rate, and reads all records.
 
     :param settings: the daemon's settings.
-    :param platform: the log.
-    :param claimant: who waits for claims.
+    :param platform: the platform that has the log.
+    :param claimant: receives the results of claims.
     :param clock: the clocks to read.
     """
 
@@ -83,35 +83,35 @@
         self._appends: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Read and append until cancelled; appends on their way end by themselves."""
-        # A group passes over a task that ends by a cancellation; the others would go on alone.
+        """Read and append until cancelled; appends in progress complete on their own."""
+        # A TaskGroup ignores a task that ends by a cancellation, and the others would run on alone.
         async with asyncio.TaskGroup() as group:
             for part in (self._read_loop, self._append_loop):
                 group.create_task(cancellations.run_part(part))
 
     def put(self, record: KeyRecord) -> None:
-        """Append a record soon; ends of claims are tried again until they stand on the log."""
+        """Queue a record to append; ends of claims are retried until they are on the log."""
         self._queue.append(record)
         self._queued.set()
         if isinstance(record, ClaimRecord):
             self._claim_queued.set()
 
     def withdraw(self, record: ClaimRecord) -> None:
-        """Append a claim no more; it may stand on the log already."""
+        """Stop trying to append a claim; it may be on the log already."""
         self._unconfirmed_ids.discard(record.id)
         if record in self._queue:
             self._queue.remove(record)
 
     def is_flushed(self) -> bool:
-        """Whether all records that were put stand on the log."""
+        """Return whether no record is queued or being appended."""
         return not self._queue and not self._appends
 
     def readable_for_s(self) -> float:
-        """Tell for how long the log has been read without a failure, in seconds; 0 if it isn't."""
+        """Return for how long the log has been readable, in seconds; 0 if it isn't."""
         return max(0.0, self.clock.monotonic() - self._readable_since)
 
     def why_unusable(self) -> str:
-        """Why a new claim would be in vain now, "" when it may be tried."""
+        """Return why a new claim would fail now, "" if it may be tried."""
         if not self._readable:
             return "the log can't be read now"
         if self._appendable:
@@ -119,7 +119,7 @@
         now = self.clock.monotonic()
         if now < self._probe_at:
             return "the log takes no records now"
-        # One claim in a while finds out whether it does again.
+        # One claim per RETRY_S tests whether the log accepts records again.
         self._probe_at = now + RETRY_S
         return ""
 
@@ -143,7 +143,7 @@
                 await self.clock.sleep(RETRY_S)
 
     async def _linger(self) -> None:
-        """Let ends of claims wait for a claim to go with; nobody waits for them."""
+        """Delay ends of claims to append them with a claim, as no caller waits for them."""
         if any(isinstance(record, ClaimRecord) for record in self._queue):
             return
         self._claim_queued.clear()
@@ -172,7 +172,7 @@
                 self._appended.set()
 
     def _handle_failed_append(self, batch: list[KeyRecord], *, answer_lost: bool) -> None:
-        """Queue again what must stand on the log; a second copy does no harm there."""
+        """Queue again the records that must get on the log; a second copy is harmless."""
         retried: list[KeyRecord] = []
         for record in batch:
             if not isinstance(record, ClaimRecord):
@@ -180,7 +180,7 @@
                 continue
             if answer_lost:
                 self._unconfirmed_ids.add(record.id)
-            # A claim whose first copy may stand on the log isn't refused with its second one.
+            # The failure of a retry doesn't refuse a claim whose first copy may be on the log.
             if record.id not in self._unconfirmed_ids:
                 self.claimant.on_claim_failed(record)
             elif self.claimant.is_claim_pending(record):
@@ -196,9 +196,9 @@
             return
         self._appendable = appendable
         if appendable:
-            logging.info("claims of keys can be written again")
+            logging.info("claim records can be appended again")
         else:
-            logging.warning("claims of keys can't be written: %s", why)
+            logging.warning("claim records can't be appended: %s", why)
 
     async def _read_loop(self) -> None:
         while True:
@@ -214,7 +214,7 @@
                 self._apply_page(page)
 
     async def _read(self) -> Page:
-        """Read on; a long poll that lags behind an append is given up for a new connection."""
+        """Read on; a long poll that lags behind an append is repeated on a new connection."""
         if not self._readable:
             return await self.platform.read(self.stream, self._next_offset, limit=READ_LIMIT)
         wait_s = self.settings.platform.long_poll_s
@@ -240,7 +240,7 @@
 
     def _apply_page(self, page: Page) -> None:
         if page.end < self._next_offset:
-            logging.warning("the claims' stream begins anew; keys claimed before stay known here")
+            logging.warning("the claims stream was reset; keys claimed earlier stay known here")
             self._next_offset, self._end_offset = page.oldest, 0
             return
         for record in page.records:
@@ -259,6 +259,6 @@
         self._readable = readable
         self._readable_since = self.clock.monotonic() if readable else float("inf")
         if readable:
-            logging.info("claims of keys are read up to the log's end")
+            logging.info("claim records have been read up to the log's end")
         else:
-            logging.warning("claims of keys can't be read: %s", why)
+            logging.warning("claim records can't be read: %s", why)
--- a/mustardgap/claims.py
+++ b/mustardgap/claims.py
@@ -1,8 +1,8 @@
-"""The records of Idempotency-Keys on the log, and the rule by which every entry host reads them.
+"""The records of Idempotency-Keys on the log, and the rule by which every entry host folds them.
 
 The first claim of a key in the order of the log holds it. A claim that was released or that found
-the key held is void, also when it turns up later or twice, so that an append whose answer was lost
-can be taken back or repeated.
+the key held is void, even if it appears later or twice, so that an append whose answer was lost
+can be revoked or repeated.
 """
 
 from base64 import b64decode, b64encode
@@ -19,7 +19,7 @@
 
 
 class ClaimRecord(msgspec.Struct, kw_only=True, frozen=True, tag="claim", tag_field="kind"):
-    """A member wants to run the request of a key; it ends by ``until``, seconds since the epoch."""
+    """A member claims a key for a request that ends by ``until``, seconds since the epoch."""
 
     id: str
     key: str
@@ -36,7 +36,7 @@
 
 
 class DoneRecord(msgspec.Struct, kw_only=True, frozen=True, tag="done", tag_field="kind"):
-    """The request of a claim ran; ``kept`` tells whether the answer is here."""
+    """The request of a claim ran; ``kept`` is whether this record contains the answer."""
 
     id: str
     key: str
@@ -46,7 +46,7 @@
     kept: bool = False
 
     def decode_body(self) -> bytes:
-        """The body that was kept."""
+        """Return the body of the answer."""
         return b64decode(self.body)
 
 
@@ -64,7 +64,7 @@
 
 
 class KeyEntry(NamedTuple):
-    """The claim that holds a key; ``offset`` is that of its end, -1 while it runs."""
+    """The claim that holds a key; ``offset`` is that of its end record, -1 while it runs."""
 
     id: str
     fingerprint: str
@@ -75,17 +75,17 @@
 
 
 def hash_key(service: str, key: str) -> str:
-    """The hash under which a key of a service stands on the log."""
+    """Return the hash by which the log identifies a key of a service."""
     return xxh3_128_hexdigest(f"{service}\0{key}".encode())
 
 
 def make_fingerprint(method: str, target: str, body: bytes) -> str:
-    """What tells two requests apart that carry the same key."""
+    """Return the hash that distinguishes requests with the same key."""
     return xxh3_128_hexdigest(f"{method}\0{target}\0".encode() + body)
 
 
 def make_end_record(claim_id: str, key: str, outcome: Outcome) -> EndRecord:
-    """The record that ends a claim with the outcome of its request."""
+    """Return the record that ends a claim with the outcome of its request."""
     if isinstance(outcome, NotRun):
         return ReleaseRecord(id=claim_id, key=key)
     if isinstance(outcome, Streamed):
@@ -106,7 +106,7 @@
 
 
 def decode(value: Any) -> KeyRecord | None:
-    """Decode a record of the log, None when it isn't one of a key."""
+    """Decode a record of the log; return None if it isn't one of a key."""
     try:
         return msgspec.convert(value, KeyRecord)  # type: ignore[arg-type]
     except msgspec.ValidationError:
@@ -116,7 +116,7 @@
 class Ledger:
     """The claims in force, folded in the order of the log.
 
-    What is forgotten goes by the log's own time, so that all entry hosts forget alike.
+    Expiry follows the times of the log's records, so that all entry hosts expire the same keys.
 
     :param ttl_s: seconds after which a key is forgotten.
     """
@@ -127,9 +127,10 @@
         self._voided_at_by_id: OrderedDict[str, float] = OrderedDict()
 
     def fold(self, record: LogRecord) -> KeyRecord | None:
-        """Take a record in.
+        """Fold a record.
 
-        :return: the record decoded.
+        :param record: the next record of the log.
+        :return: the decoded record, None if it isn't one of a key.
         """
         value = decode(record.value)
         self._expire(record.time - self.ttl_s)
@@ -143,8 +144,8 @@
         holder = self.by_key.get(claim.key)
         if holder is not None:
             if holder.id != claim.id:
-                # Its caller is refused. A second copy that comes when the key is free again would
-                # hold the key for nobody, and who asks would be told that it may have run.
+                # The caller of this claim is refused. A second copy that arrives when the key is
+                # free again would hold it for no request, and callers told that one may have run.
                 self._voided_at_by_id[claim.id] = time
             return
         if claim.id not in self._voided_at_by_id:
--- a/mustardgap/entries.py
+++ b/mustardgap/entries.py
@@ -1,4 +1,4 @@
-"""The membership of entry hosts on the log: which record this daemon should write now."""
+"""The membership of entry hosts on the log: the records that this daemon should write now."""
 
 from .duties import Duties
 from .members import Members, MemberState
@@ -7,11 +7,11 @@
 
 
 class EntryMembership:
-    """Joins this daemon, and finds which others are gone.
+    """Makes the records by which this daemon joins and leaves, and those of hosts that are gone.
 
     :param state: the folded state.
     :param members: the entry hosts as this daemon sees them.
-    :param duties: whose turn it is.
+    :param duties: decides which daemon writes the record of a host that is gone.
     """
 
     def __init__(self, *, state: State, members: Members, duties: Duties) -> None:
@@ -21,7 +21,7 @@
         self.may_join = True
 
     def due_records(self) -> list[EntryBody]:
-        """The records that are this daemon's to write now."""
+        """Return the records that this daemon should write now."""
         me = self.members.me
         own = self.state.entries_by_host.get(me.host)
         if not self.is_joined():
@@ -35,23 +35,24 @@
         ]
 
     def leave(self) -> EntryBody | None:
-        """The record by which this daemon leaves, None when it isn't joined."""
+        """Return the record by which this daemon leaves, None if it hasn't joined."""
         self.may_join = False
         me = self.members.me
         own = self.state.entries_by_host.get(me.host)
         return _make_record(own, me.host, me.incarnation, "leave") if self.is_joined() else None
 
     def is_joined(self) -> bool:
-        """Whether this run is joined."""
+        """Return whether this incarnation has joined."""
         me = self.members.me
         own = self.state.entries_by_host.get(me.host)
         return own is not None and (own["state"], own["incarnation"]) == ("joined", me.incarnation)
 
     def _missing_entries(self) -> list[EntryState]:
-        """The joined that are dead as seen from here, and that the platform lists no longer.
+        """Return the joined hosts that this one sees as dead and the platform no longer lists.
 
-        A host that is cut off with a few others sees all the rest dead; it writes nothing, because
-        it sees no majority live. That is a guard only: a wrong record costs a share, not the sum.
+        A host that is partitioned with a minority sees all others as dead. It writes nothing, as
+        it sees no live majority. This is only a guard: a wrong record costs a host its share,
+        but doesn't change the sum of the shares.
         """
         members = self.members
         joined = [e for e in self.state.entries_by_host.values() if e["state"] == "joined"]
--- a/mustardgap/keys.py
+++ b/mustardgap/keys.py
@@ -1,4 +1,4 @@
-"""Claims of Idempotency-Keys on the platform's log: the same key runs once, through any host."""
+"""Claims Idempotency-Keys on the log, so that a key runs once through whichever entry host."""
 
 import asyncio
 import random
@@ -18,11 +18,12 @@
 
 MAX_KEY_LENGTH = 255
 MAX_RECENT_ANSWERS = 1000
-# How far the clocks of entry hosts may differ before a run that goes on is taken for lost.
+# The greatest difference between clocks of entry hosts at which a running request isn't yet
+# reported as lost.
 MAX_CLOCK_SKEW_S = 2.0
 RETRY_AFTER_S = 2.0
-# After the log has come back, claimants have this long to put there what ended meanwhile: eight of
-# the pauses after which they try that again.
+# After an outage of the log, claimants have this long to append the ends of claims from that time:
+# eight of the pauses between their retries.
 END_APPEND_GRACE_S = 2.0
 FLUSH_POLL_S = 0.02
 
@@ -35,7 +36,7 @@
 
 
 class _Pending(NamedTuple):
-    """A claim on its way to the log; ``decided`` is whether it was won, None for refused."""
+    """An undecided claim; ``decided`` is set to whether it was won, None if it wasn't appended."""
 
     record: ClaimRecord
     decided: "asyncio.Future[bool | None]"
@@ -44,12 +45,12 @@
 class Keys:
     """The claims of all entry hosts, as read from the log.
 
-    A claim counts when it has been read back from the log: all that stands before it is known
-    then, so no clock, lease or membership takes part in the decision who runs a request.
+    A claim takes effect when it has been read back from the log, since all records before it are
+    known by then. The decision who runs a request thus depends on no clock, lease or membership.
 
     :param settings: the daemon's settings.
-    :param platform: the log.
-    :param member: this entry host's name and incarnation.
+    :param platform: the platform that has the log.
+    :param member: the name and incarnation of this entry host.
     :param clock: the clocks to read.
     """
 
@@ -66,17 +67,18 @@
         self._recent_answers: OrderedDict[str, DoneRecord] = OrderedDict()
 
     async def run(self) -> None:
-        """Read and append until cancelled."""
+        """Read and append claim records until cancelled."""
         await self._log.run()
 
     def is_usable(self) -> bool:
-        """Whether a new key can be claimed now, as far as is known."""
+        """Return whether a new key can be claimed now, as far as is known."""
         return not self._why_undecided()
 
     async def flush(self, *, timeout_s: float) -> bool:
-        """Wait until all ends of claims stand on the log, for a planned stop.
+        """Wait until all ends of claims are on the log, before a planned stop.
 
-        :return: whether they do.
+        :param timeout_s: how long to wait, in seconds.
+        :return: whether they are on the log.
         """
         deadline = self.clock.monotonic() + timeout_s
         while not self._log.is_flushed() and self.clock.monotonic() < deadline:
@@ -84,12 +86,12 @@
         return self._log.is_flushed()
 
     async def claim(self, service: str, request: Request, *, deadline: float) -> Claim | Outcome:
-        """Claim the key of a request, or tell what became of it.
+        """Claim the key of a request.
 
         :param service: the service that the request is for.
         :param request: a request with an Idempotency-Key.
-        :param deadline: the clock's monotonic seconds by which the request must have ended.
-        :return: the claim, when the request may be run now.
+        :param deadline: the monotonic time in seconds by which the request must have ended.
+        :return: the claim if the request may be run now, else the outcome to report.
         """
         text = request.headers["Idempotency-Key"]
         if not 0 < len(text) <= MAX_KEY_LENGTH:
@@ -103,10 +105,10 @@
         return result
 
     def finish(self, claim: Claim, outcome: Outcome) -> None:
-        """Put the outcome of a claimed request on the log.
+        """End a claim by appending the outcome of its request to the log.
 
-        :param claim: the claim, which ends.
-        :param outcome: what became of the request.
+        :param claim: the claim to end.
+        :param outcome: the outcome of the request.
         """
         end = claims.make_end_record(claim.id, claim.key, outcome)
         if isinstance(end, DoneRecord):
@@ -165,14 +167,14 @@
         return await self._resolve_held_key(key, entry, fingerprint)
 
     def _abandon(self, record: ClaimRecord) -> None:
-        # The claim may stand on the log already, or may come to stand there later because its
-        # append is still on the way. The caller is told that nothing was run, so nobody may take
-        # the claim for one that runs: a release makes it void in either order.
+        # The claim may be on the log already, or may still get there because its append is in
+        # progress. The caller is told that nothing was run, so the claim mustn't be taken for that
+        # of a running request: a release makes it void in either order.
         self._log.withdraw(record)
         self._log.put(ReleaseRecord(id=record.id, key=record.key))
 
     async def _resolve_held_key(self, key: str, entry: KeyEntry, fingerprint: str) -> Outcome:
-        """Tell what became of the request that holds a key."""
+        """Return the outcome to report for a request whose key is already held."""
         if entry.fingerprint != fingerprint:
             return _not_run(status_codes.KEY_REUSED)
         if entry.id in self._recent_answers:
@@ -185,8 +187,8 @@
             and remaining_s <= 0
             and self._log.readable_for_s() < END_APPEND_GRACE_S
         ):
-            # While the log is away a claimant can't put the end of its request there. The caller
-            # would be told to look up by hand what it gets as an answer some seconds later.
+            # During an outage of the log a claimant can't append the end of its request. The caller
+            # would be told to check by hand what a retry some seconds later gets as an answer.
             detail = "an earlier request with this key may have ended; the log wasn't readable"
             return _not_run(status_codes.KEY_UNDECIDED, detail)
         if entry.state == "lost" or remaining_s <= 0:
@@ -194,7 +196,7 @@
         return _not_run(status_codes.KEY_IN_USE, retry_after=min(2.0, remaining_s))
 
     async def _read_answer(self, entry: KeyEntry) -> Outcome:
-        # Answers stay on the log and aren't held here: an hour of them would not fit.
+        # Most answers are only on the log: those of an hour wouldn't fit into memory.
         try:
             async with asyncio.timeout(self.settings.requests.claim_timeout_s):
                 page = await self._log.platform.read(self._log.stream, entry.offset, limit=1)
@@ -215,26 +217,26 @@
             self._recent_answers.popitem(last=False)
 
     def on_claim_read(self, record: ClaimRecord) -> None:
-        """Take in that a claim was read back: the ledger says who holds the key."""
+        """Decide a claim that was read back: the ledger has the holder of its key."""
         pending = self._pending_by_id.get(record.id)
         if pending is not None and not pending.decided.done():
             entry = self._log.ledger.by_key.get(record.key)
             pending.decided.set_result(entry is not None and entry.id == record.id)
 
     def on_claim_failed(self, record: ClaimRecord) -> None:
-        """Take in that a claim certainly doesn't stand on the log."""
+        """Refuse a claim that certainly isn't on the log."""
         pending = self._pending_by_id.get(record.id)
         if pending is not None and not pending.decided.done():
             pending.decided.set_result(None)
 
     def is_claim_pending(self, record: ClaimRecord) -> bool:
-        """Whether a request still waits for a claim."""
+        """Return whether a request still waits for a claim."""
         pending = self._pending_by_id.get(record.id)
         return pending is not None and not pending.decided.done()
 
 
 def _not_run(code: Code, detail: str = "", retry_after: float = RETRY_AFTER_S) -> NotRun:
-    """A refusal with a time to come back that is spread, so that not all come at once."""
+    """Refuse with a randomized retry time, so that callers don't all retry at once."""
     return NotRun(code=code, detail=detail, retry_after=random.uniform(0.5, 1.5) * retry_after)
 
 
--- a/mustardgap/readiness.py
+++ b/mustardgap/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this entry host may serve: started, not stopping, and current with the log."""
+"""Decides whether this entry host may serve: started, not stopping, current with the log."""
 
 import math
 from collections.abc import Callable
@@ -10,9 +10,9 @@
 
 
 class Readiness:
-    """Collects the reasons why this entry host isn't ready; without one it is.
+    """Collects the reasons why this entry host isn't ready; it is ready if there are none.
 
-    :param timeline: where changes of state are noted.
+    :param timeline: records the changes.
     """
 
     def __init__(self, *, timeline: Timeline) -> None:
@@ -28,27 +28,27 @@
 
     @property
     def reason(self) -> str:
-        """Why it isn't ready, "" when it is."""
+        """Why this entry host isn't ready, "" if it is."""
         return "; ".join(f"{part}: {why}" for part, why in sorted(self._reasons_by_part.items()))
 
     def on_change(self, callback: Callable[[bool], None]) -> None:
-        """Call back with the new state whenever it changes."""
+        """Call back with the new readiness whenever it changes."""
         self._callbacks.append(callback)
 
     def block(self, part: str, why: str) -> None:
-        """Give a reason not to be ready; it stands until ``clear``."""
+        """Set a part's reason not to be ready, until ``clear``."""
         before = self.ready
         self._reasons_by_part[part] = why
         self._notify_if_changed(before)
 
     def clear(self, part: str) -> None:
-        """Take a part's reason back."""
+        """Remove a part's reason."""
         before = self.ready
         self._reasons_by_part.pop(part, None)
         self._notify_if_changed(before)
 
     def stop(self) -> None:
-        """Be unready for good: the daemon is stopping."""
+        """Become unready permanently, as the daemon is stopping."""
         self.stopping = True
         self.block("daemon", "stopping")
 
@@ -64,24 +64,26 @@
 def is_current_since(
     *, known_at: float, now: float, since: float, stale_after_s: float, members: Members
 ) -> bool:
-    """Whether this entry host has known since a moment which state is in force.
+    """Return whether this entry host has known since a given time which state is in force.
 
-    It may then use its share of the slots: nobody can have taken it over unbeknown. The rule is
-    that of ``current``, but nothing counts that was known or heard before the moment, because a
-    process that was stopped wakes with what was true when it fell asleep.
+    If so, it may use its share of the slots: no other host can have taken it over without this one
+    knowing. The rule is that of ``is_current``, but what was read or heard before ``since`` doesn't
+    count, because a process that was paused resumes with information from before the pause.
 
-    :param known_at: when it, or a peer in reach, last had read up to the log's end.
+    :param known_at: the monotonic time at which it or a reachable peer last read to the log's end.
     :param now: the monotonic time.
-    :param since: the monotonic time at which it last woke from a pause.
-    :param stale_after_s: the bound on the age of that.
+    :param since: the monotonic time at which it last resumed from a pause.
+    :param stale_after_s: the greatest age of the last read, in seconds.
     :param members: the members, and when each was last heard.
+    :return: whether the state is known.
     """
     if known_at >= since:
         age_s = now - known_at
     else:
         age_s = math.inf if known_at == -math.inf else stale_after_s + now - known_at
     known = members.electorate()
-    # In a large fleet most are heard of by gossip only; silent ones are suspected by then.
+    # In a large fleet most members are heard of only through gossip. From ``suspect_s`` after the
+    # pause, silent members are suspected, so all live ones count.
     long_awake = now - since >= members.settings.peers.suspect_s
     heard = {m.host for m in members.live() if long_awake or m.seen >= since}
     heard.add(members.me.host)
@@ -91,18 +93,20 @@
 
 
 def is_current(*, age_s: float, stale_after_s: float, reachable: int, known: int) -> bool:
-    """Whether this entry host can know which configuration is in force.
-
-    With the log in reach, directly or by a peer that reads it, what was accepted is here within
-    the bound. With the log out of reach for everyone, nothing can be accepted, so the last state
-    stays in force; but an entry host that is cut off with a few others can't tell that from a log
-    that the rest still write to. A majority of the known entry hosts in reach tells the two apart:
-    the rest can't all be on the other side. It only gates readiness; nothing is decided by it.
-
-    :param age_s: seconds since this entry host or a peer in reach read up to the log's end.
-    :param stale_after_s: the bound on that.
-    :param reachable: entry hosts in reach now, this one included.
-    :param known: entry hosts that may be alive, this one included.
+    """Return whether this entry host can know which configuration is in force.
+
+    If the log is reachable, directly or through a peer that reads it, accepted records arrive
+    within ``stale_after_s``. If no host can reach the log, nothing can be accepted and the last
+    state stays in force; but an entry host that is partitioned with a minority can't distinguish
+    that from a log that the others still write to. If a majority of the known entry hosts is
+    reachable, the others can't all be on the other side. The result only gates readiness and the
+    use of slots.
+
+    :param age_s: seconds since this entry host or a reachable peer read up to the log's end.
+    :param stale_after_s: the greatest such age, in seconds.
+    :param reachable: the number of entry hosts in reach now, including this one.
+    :param known: the number of entry hosts that may be alive, including this one.
+    :return: whether the configuration is known.
     """
     if age_s <= stale_after_s:
         return True
