--- a/features/support/entries.py
+++ b/features/support/entries.py
@@ -1,4 +1,4 @@
-"""An entry host's request side alone, with fakes for the rest, in this process or its own."""
+"""The request handling of an entry host with fakes for the rest, in this process or its own."""
 
 import asyncio
 import contextlib
@@ -28,11 +28,11 @@
     "max_body_bytes": 100_000,
     "idempotent_methods": ["PUT"],
 }
-NOBODY = "127.0.0.1:1"
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
 
 
 def make_state(min_hosts=1):
-    """A folded state with one service, "quotes", under the path /quotes."""
+    """Return a folded state with one service, "quotes", under the path /quotes."""
     service = {"profile": "steady", "team": "t", "path": "/quotes"}
     profile = {"urgency": 1, "limits": LIMITS, "availability": {"min_hosts": min_hosts}}
     return SimpleNamespace(
@@ -46,7 +46,7 @@
 
 
 def make_workers(executors):
-    """A view of workers from (executor, address, rack) rows, a worker for each."""
+    """Return a view of workers from (executor, address, rack) rows, with one worker per row."""
     by_id = {}
     for executor, address, rack in executors:
         info = {"executor": executor, "service": "quotes", "address": address, "slots": 8}
@@ -55,19 +55,19 @@
     return SimpleNamespace(by_id=by_id, on_change=callbacks.append, callbacks=callbacks)
 
 
-class FirstSlots:
-    """Gives the first executor that wasn't tried, in order, to anybody; counts what is held."""
+class FirstExecutorSlots:
+    """Grants every request the first executor that wasn't tried, and counts the slots held."""
 
     def __init__(self, *, executors):
         self.executors = executors
         self.held = 0
-        self.closed = asyncio.Event()
-        self.open = asyncio.Event()
-        self.open.set()
+        self.requested = asyncio.Event()
+        self.grants_allowed = asyncio.Event()
+        self.grants_allowed.set()
 
     async def acquire(self, service, *, deadline, urgency, exclude):
-        self.closed.set()
-        await self.open.wait()
+        self.requested.set()
+        await self.grants_allowed.wait()
         views = self.executors.candidates(service)
         if not views:
             raise SlotRefused(outcome=NotRun(code=status_codes.NO_EXECUTOR))
@@ -79,8 +79,8 @@
         self.held -= 1
 
 
-class SpreadSlots(FirstSlots):
-    """Gives the executor that has the least to do for its weight."""
+class LeastLoadedSlots(FirstExecutorSlots):
+    """Grants the executor with the lowest load relative to its weight."""
 
     def __init__(self, *, executors):
         super().__init__(executors=executors)
@@ -92,8 +92,8 @@
             raise SlotRefused(outcome=NotRun(code=status_codes.NO_EXECUTOR))
         rest = [v for v in views if v.executor not in exclude] or views
         load = {v.executor: (self.held_by_executor[v.executor] + 1) / v.weight for v in rest}
-        least = [v for v in rest if load[v.executor] == min(load.values())]
-        view = random.choice(least)
+        least_loaded = [v for v in rest if load[v.executor] == min(load.values())]
+        view = random.choice(least_loaded)
         self.held += 1
         self.held_by_executor[view.executor] += 1
         return SimpleNamespace(executor=view)
@@ -103,18 +103,18 @@
         self.held_by_executor[slot.executor.executor] -= 1
 
 
-class Entry:
-    """The request side of one entry host; ``executors`` are (executor, address, rack) rows."""
+class EntryHost:
+    """The request handling of an entry host; ``executors`` are (executor, address, rack) rows."""
 
     def __init__(
         self,
         name,
         executors,
         *,
-        platform=NOBODY,
+        platform=UNREACHABLE_ADDRESS,
         callers=None,
         requests=None,
-        slots=FirstSlots,
+        slots=FirstExecutorSlots,
         min_hosts=1,
         clock=None,
     ):
@@ -162,14 +162,14 @@
 
 async def _serve(text):
     options = msgspec.json.decode(text)
-    entry = Entry(**options)
+    entry = EntryHost(**options)
     keys = asyncio.create_task(entry.keys.run())
-    watch = asyncio.create_task(entry.timers.run())
+    timers = asyncio.create_task(entry.timers.run())
     while not entry.keys.is_usable():
         await asyncio.sleep(0.02)
     entry.callers.open()
     await keys
-    await watch
+    await timers
 
 
 if __name__ == "__main__":
--- a/mustardgap/entries.py
+++ b/mustardgap/entries.py
@@ -1,4 +1,4 @@
-"""The membership of entry hosts on the log: which record this daemon should write now."""
+"""The membership of entry hosts on the log: the records that this daemon should write now."""
 
 from .duties import Duties
 from .members import Members, MemberState
@@ -6,12 +6,12 @@
 from .states import State
 
 
-class Entries:
-    """Joins this daemon, and finds which others are gone.
+class EntryMembership:
+    """Makes the records by which this daemon joins and leaves, and those of hosts that are gone.
 
     :param state: the folded state.
     :param members: the entry hosts as this daemon sees them.
-    :param duties: whose turn it is.
+    :param duties: decides which daemon writes the record of a host that is gone.
     """
 
     def __init__(self, *, state: State, members: Members, duties: Duties) -> None:
@@ -20,40 +20,45 @@
         self.duties = duties
         self.may_join = True
 
-    def due(self) -> list[EntryBody]:
-        """The records that are this daemon's to write now."""
+    def due_records(self) -> list[EntryBody]:
+        """Return the records that this daemon should write now."""
         me = self.members.me
         own = self.state.entries_by_host.get(me.host)
         if not self.is_joined():
             if not self.may_join or me.state is not MemberState.live:
                 return []
-            return [_step(own, me.host, me.incarnation, "join")]
-        return [self._gone(entry) for entry in self._lost() if self._is_due(entry)]
+            return [_make_record(own, me.host, me.incarnation, "join")]
+        return [
+            self._make_gone_record(entry)
+            for entry in self._missing_entries()
+            if self._is_due(entry)
+        ]
 
     def leave(self) -> EntryBody | None:
-        """The record by which this daemon leaves, None when it isn't joined."""
+        """Return the record by which this daemon leaves, None if it hasn't joined."""
         self.may_join = False
         me = self.members.me
         own = self.state.entries_by_host.get(me.host)
-        return _step(own, me.host, me.incarnation, "leave") if self.is_joined() else None
+        return _make_record(own, me.host, me.incarnation, "leave") if self.is_joined() else None
 
     def is_joined(self) -> bool:
-        """Whether this run is joined."""
+        """Return whether this incarnation has joined."""
         me = self.members.me
         own = self.state.entries_by_host.get(me.host)
         return own is not None and (own["state"], own["incarnation"]) == ("joined", me.incarnation)
 
-    def _lost(self) -> list[EntryState]:
-        """The joined that are dead as seen from here, and that the platform lists no longer.
+    def _missing_entries(self) -> list[EntryState]:
+        """Return the joined hosts that this one sees as dead and the platform no longer lists.
 
-        A host that is cut off with a few others sees all the rest dead; it writes nothing, because
-        it sees no majority live. That is a guard only: a wrong record costs a share, not the sum.
+        A host that is partitioned with a minority sees all others as dead. It writes nothing, as
+        it sees no live majority. This is only a guard: a wrong record costs a host its share,
+        but doesn't change the sum of the shares.
         """
         members = self.members
         joined = [e for e in self.state.entries_by_host.values() if e["state"] == "joined"]
         live = {(m.host, m.incarnation) for m in members.live()}
-        seen = sum((e["host"], e["incarnation"]) in live for e in joined)
-        if 2 * seen <= len(joined) or not members.listed_hosts:
+        live_count = sum((e["host"], e["incarnation"]) in live for e in joined)
+        if 2 * live_count <= len(joined) or not members.listed_hosts:
             return []
         return [e for e in joined if e["host"] not in members.listed_hosts and self._is_dead(e)]
 
@@ -68,10 +73,10 @@
         self.duties.note_attempt(key)
         return True
 
-    def _gone(self, entry: EntryState) -> EntryBody:
-        return _step(entry, entry["host"], entry["incarnation"], "gone")
+    def _make_gone_record(self, entry: EntryState) -> EntryBody:
+        return _make_record(entry, entry["host"], entry["incarnation"], "gone")
 
 
-def _step(entry: EntryState | None, host: str, incarnation: int, step: str) -> EntryBody:
+def _make_record(entry: EntryState | None, host: str, incarnation: int, step: str) -> EntryBody:
     base = entry["epoch"] if entry is not None else 0
     return EntryBody(host=host, base=base, incarnation=incarnation, step=step)  # type: ignore[typeddict-item]
