--- a/features/steps/executors_lines_steps.py
+++ b/features/steps/executors_lines_steps.py
@@ -5,8 +5,8 @@
 from absl import logging as absl_logging
 from behave import then, when
 
-from mustardgap.healths import Sign
-from mustardgap.outliers import Outliers, Patient
+from mustardgap.healths import HealthSign
+from mustardgap.outliers import Outliers, TrackedExecutor
 from mustardgap.settings import RequestsSettings
 from mustardgap.timelines import Timeline
 from tools.actor_platforms import HandClock
@@ -41,14 +41,14 @@
             outliers.weight(name)
 
     for name in NAMES:
-        patient = Patient(executor=name, service="quotes", worker=f"w-{name}", rack=name)
+        patient = TrackedExecutor(executor=name, service="quotes", worker=f"w-{name}", rack=name)
         outliers.add(patient, slowly=True)
     pass_time(settings.slow_start_s)
     for _ in range(settings.eject_after):
-        outliers.note("x1", Sign(True, hard=True), 0.1)
+        outliers.note_try("x1", HealthSign(True, hard=True), 0.1)
     pass_time(settings.eject_s * 2)
-    outliers.begin("x1", idempotent=True)
-    outliers.note("x1", Sign(False), 0.1)
+    outliers.allow_request("x1", idempotent=True)
+    outliers.note_try("x1", HealthSign(False), 0.1)
     pass_time(settings.slow_start_s)
 
 
--- a/features/steps/executors_steps.py
+++ b/features/steps/executors_steps.py
@@ -12,8 +12,8 @@
 from features.support.entries import SpreadSlots, make_state, make_workers
 from features.support.rigs import Rig
 from mustardgap.executors import Executors
-from mustardgap.healths import Sign
-from mustardgap.outliers import Outliers, Patient
+from mustardgap.healths import HealthSign
+from mustardgap.outliers import Outliers, TrackedExecutor
 from mustardgap.settings import PlatformSettings, RequestsSettings, Settings
 from mustardgap.timelines import Timeline
 from mustardgap.timers import Clock, Timers
@@ -28,8 +28,8 @@
     "refusing": {"name": "refusing"},
     "ten times as slow": {"name": "slow", "factor": 10.0},
 }
-OK, HARD = Sign(False), Sign(True, hard=True)
-UNREACHABLE = Sign(True, hard=True, unreachable=True)
+OK, HARD = HealthSign(False), HealthSign(True, hard=True)
+UNREACHABLE = HealthSign(True, hard=True, unreachable=True)
 
 
 class FakeClock(Clock):
@@ -299,7 +299,7 @@
         on_change=on_change,
     )
     for name, rack in zip(NAMES, racks, strict=True):
-        patient = Patient(executor=name, service="quotes", worker=f"w-{name}", rack=rack)
+        patient = TrackedExecutor(executor=name, service="quotes", worker=f"w-{name}", rack=rack)
         outliers.add(patient, slowly=False)
     return outliers
 
@@ -314,11 +314,11 @@
     context.outliers = outliers = make_outliers()
     for name in NAMES[1:]:
         for sign in reversed(spread_failures(elsewhere, 100)):
-            outliers.note(name, sign, 0.01)
+            outliers.note_try(name, sign, 0.01)
     for sign in reversed(spread_failures(failed, tries)):
-        outliers.note("x1", sign, 0.01)
+        outliers.note_try("x1", sign, 0.01)
     outliers.clock.now += 1.0
-    outliers.note("x2", OK, 0.01)
+    outliers.note_try("x2", OK, 0.01)
 
 
 def parse_durations(text):
@@ -335,18 +335,18 @@
     context.outliers = outliers = make_outliers()
     for name in NAMES:
         for took_s in parse_durations(here if name == "x1" else elsewhere):
-            outliers.note(name, OK, took_s)
+            outliers.note_try(name, OK, took_s)
     outliers.clock.now += 1.0
-    outliers.note("x2", OK, parse_durations(elsewhere)[0])
+    outliers.note_try("x2", OK, parse_durations(elsewhere)[0])
 
 
 PEER_SIGNS = {
-    "failed twice each": [Sign(True)] * 2,
+    "failed twice each": [HealthSign(True)] * 2,
     "answered twice each": [OK] * 2,
-    "failed once each": [Sign(True)],
+    "failed once each": [HealthSign(True)],
     "answered once each": [OK],
     "not been tried": [],
-    "failed 4 times each": [Sign(True)] * 4,
+    "failed 4 times each": [HealthSign(True)] * 4,
 }
 
 
@@ -355,9 +355,9 @@
     context.outliers = outliers = make_outliers()
     for name in NAMES[1:]:
         for sign in PEER_SIGNS[tried]:
-            outliers.note(name, sign, 0.01)
+            outliers.note_try(name, sign, 0.01)
     for _ in range(5):
-        outliers.note("x1", Sign(True), 0.01)
+        outliers.note_try("x1", HealthSign(True), 0.01)
 
 
 @then("the first executor is {state} and the others are well")
@@ -387,7 +387,7 @@
 def rack_fails(context):
     context.outliers = make_outliers()
     for name in ("x1", "x2", "x3", "x4"):
-        context.outliers.note(name, UNREACHABLE, 0.5)
+        context.outliers.note_try(name, UNREACHABLE, 0.5)
 
 
 @then("executors elsewhere in that rack are ejected by one failure, and others aren't")
@@ -398,7 +398,7 @@
 
 @when("executors get random results")
 def draw_signs(context):
-    signs = st.sampled_from([OK, OK, OK, HARD, UNREACHABLE, Sign(True)])
+    signs = st.sampled_from([OK, OK, OK, HARD, UNREACHABLE, HealthSign(True)])
     steps = st.lists(
         st.tuples(st.sampled_from(NAMES), signs, st.sampled_from([0.01, 0.01, 0.5]),
                   st.sampled_from([0.0, 0.1, 1.0, 20.0])),
@@ -412,7 +412,7 @@
         failed = set()
         for name, sign, took_s, pause_s in drawn_steps:
             outliers.clock.now += pause_s
-            outliers.note(name, sign, took_s)
+            outliers.note_try(name, sign, took_s)
             failed |= {name} if sign.failed or took_s > 0.1 else set()
             weights = {name: outliers.weight(name) for name in NAMES}
             out = {name for name, weight in weights.items() if weight == 0.0}
--- a/features/steps/fuzz_steps.py
+++ b/features/steps/fuzz_steps.py
@@ -226,7 +226,7 @@
             assert all(one.code == 1000 for one in told), [one.code for one in told]
             # The answers come together, within one period of the checks: the next check sees all.
             r.entry.slots.pick = "x2"
-            await asyncio.sleep(2 * outliers.CHECK_S)
+            await asyncio.sleep(2 * outliers.CHECK_INTERVAL_S)
             await r.ask("idempotent")
             patients = r.entry.executors.outliers.by_executor
             context.states = {name: patient.state for name, patient in patients.items()}
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from features.support.relays import Relay
+from features.support.relays import ThreadedLink
 from tools.processes import free_ports
 
 LIMIT_S = 40.0
@@ -161,7 +161,7 @@
     ports = free_ports(4)
     relays = []
     for i, host in enumerate(("e1", "e2")):
-        relays.append(Relay(port=ports[2 * i], target=ports[2 * i + 1]))
+        relays.append(ThreadedLink(port=ports[2 * i], target=ports[2 * i + 1]))
         context.add_cleanup(relays[i].stop)
         seed = f"127.0.0.1:{ports[0]}" if i else ""
         context.cluster.add(host, seed=seed, peers_port=ports[2 * i], listen=ports[2 * i + 1])
--- a/features/steps/streams_steps.py
+++ b/features/steps/streams_steps.py
@@ -12,7 +12,7 @@
 from features.support.log_worlds import LogWorld, change
 from mustardgap import appends, checkpoints, records, snapshots, states, status_codes
 from mustardgap.adapters import Platform
-from mustardgap.calls import Calls
+from mustardgap.calls import EntryClient
 from mustardgap.exceptions import MustardgapError, PlatformError, RecordRejected
 from mustardgap.outcomes import Accepted, Rejected
 
@@ -394,7 +394,7 @@
                     platform = Platform(address=address, timeout_s=CALL_S)
                     context.called = await platform.read("mustardgap", 0, limit=1)
                 else:
-                    calls = Calls(entries=[address], timeout_s=CALL_S)
+                    calls = EntryClient(entries=[address], timeout_s=CALL_S)
                     context.called = await calls.call("GET", "/log/mustardgap?from=0&limit=1")
             finally:
                 release.set()
--- a/features/support/relays.py
+++ b/features/support/relays.py
@@ -6,7 +6,7 @@
 from tools.links import Link
 
 
-class Relay:
+class ThreadedLink:
     """Passes connections on to a port until told otherwise.
 
     :param port: where it listens.
--- a/mustardgap/calls.py
+++ b/mustardgap/calls.py
@@ -21,13 +21,13 @@
 CONNECT_TIMEOUT_S = 2.0
 CONNECT_TRIES = 3
 # A time-out that is noticed later than this came to a process that didn't run when it was due.
-LATE_S = 0.01
+LATE_TIMEOUT_S = 0.01
 HARMLESS_PATH = "/v1/status"
 # What Tornado's text says of a time-out that came before anything was sent.
-_UNSENT = ("in request queue", "while resolving", "while connecting")
+_UNSENT_PHASES = ("in request queue", "while resolving", "while connecting")
 
 # An entry host that answers with one of these hasn't done anything, and another one may.
-_ELSEWHERE = {
+_TRY_NEXT_CODES = {
     code.number
     for code in (
         status_codes.LOG_UNAVAILABLE,
@@ -51,11 +51,11 @@
         self.body = body
 
 
-class Lost(Exception):
+class EffectUnknown(Exception):
     """A call to one entry host may have had its effect."""
 
 
-class Calls:
+class EntryClient:
     """Calls entry hosts in turn until one can answer.
 
     :param entries: ``ip:port`` of the operators' port of entry hosts.
@@ -88,22 +88,22 @@
         :raises MustardgapError: MG6001 when none could be reached, MG5001 when an answer was lost.
         """
         failures: list[str] = []
-        lost = False
+        effect_unknown = False
         problem: ProblemError | None = None
         for entry in self.entries:
             try:
-                return await self.call_one(entry, method, path, body)
+                return await self.call_entry(entry, method, path, body)
             except ProblemError as exc:
-                if exc.code.number not in _ELSEWHERE:
+                if exc.code.number not in _TRY_NEXT_CODES:
                     raise
-                lost = lost or exc.code is status_codes.LOG_ANSWER_LOST
+                effect_unknown = effect_unknown or exc.code is status_codes.LOG_ANSWER_LOST
                 problem = exc
-            except Lost as exc:
-                lost = lost or method != "GET"
+            except EffectUnknown as exc:
+                effect_unknown = effect_unknown or method != "GET"
                 failures.append(f"{entry}: {exc}")
             except (OSError, HTTPClientError) as exc:
                 failures.append(f"{entry}: {exc}")
-        if lost:
+        if effect_unknown:
             raise MustardgapError(
                 code=status_codes.LOG_ANSWER_LOST,
                 detail="no entry host could say whether it took effect",
@@ -111,9 +111,9 @@
             )
         if problem:
             raise problem
-        raise unavailable(failures)
+        raise unavailable_error(failures)
 
-    async def call_one(self, entry: str, method: str, path: str, body: Any = None) -> Any:
+    async def call_entry(self, entry: str, method: str, path: str, body: Any = None) -> Any:
         """Call one entry host.
 
         :raises ProblemError: it answered with a problem.
@@ -121,10 +121,10 @@
         :raises OSError: nothing was sent.
         """
         if self._ssl and method != "GET":
-            await self._check_served(entry)
+            await self._check_certificate(entry)
         return _decode(entry, await self._fetch(entry, method, path, body))
 
-    async def _check_served(self, entry: str) -> None:
+    async def _check_certificate(self, entry: str) -> None:
         """Get any answer from an entry host before a request that could take effect goes there.
 
         Under TLS 1.3 the client's handshake ends before the host has looked at the client's
@@ -138,7 +138,7 @@
         """
         try:
             await self._fetch(entry, "GET", HARMLESS_PATH)
-        except Lost as exc:
+        except EffectUnknown as exc:
             raise ConnectionError(
                 f"no answer after the TLS handshake, so nothing was sent; the entry host may refuse"
                 f" this certificate, or be down ({exc})"
@@ -159,7 +159,7 @@
             try:
                 return await self._send(request)
             except HTTPTimeoutError:
-                if clock() - due < LATE_S:
+                if clock() - due < LATE_TIMEOUT_S:
                     raise
         return await self._send(request)
 
@@ -188,16 +188,16 @@
             raise
         except HTTPTimeoutError as exc:
             # Tornado tells by its text alone whether anything was sent by then.
-            if any(phase in str(exc) for phase in _UNSENT):
+            if any(phase in str(exc) for phase in _UNSENT_PHASES):
                 raise
-            raise Lost(str(exc)) from None
+            raise EffectUnknown(str(exc)) from None
         except (OSError, HTTPClientError) as exc:
-            if isinstance(exc, ssl.SSLError) and _is_turned_away(exc):
+            if isinstance(exc, ssl.SSLError) and _is_certificate_rejected(exc):
                 raise
-            raise Lost(str(exc)) from None
+            raise EffectUnknown(str(exc)) from None
 
 
-def _is_turned_away(exc: ssl.SSLError) -> bool:
+def _is_certificate_rejected(exc: ssl.SSLError) -> bool:
     """Whether one end turned down the other's certificate, so that no request was looked at."""
     return "CERTIFICATE" in (exc.reason or "") or "UNKNOWN_CA" in (exc.reason or "")
 
@@ -206,12 +206,12 @@
     try:
         value = msgspec.json.decode(resp.body)
     except msgspec.DecodeError:
-        raise Lost(f"HTTP {resp.code} {resp.reason}, not JSON") from None
+        raise EffectUnknown(f"HTTP {resp.code} {resp.reason}, not JSON") from None
     if resp.code < 300:
         return value
     known = status_codes.by_number.get(value.get("code", -1)) if isinstance(value, dict) else None
     if known is None:
-        raise Lost(f"HTTP {resp.code} {resp.reason}")
+        raise EffectUnknown(f"HTTP {resp.code} {resp.reason}")
     raise ProblemError(
         code=known,
         detail=str(value.get("detail", "")),
@@ -220,7 +220,7 @@
     )
 
 
-def unavailable(failures: list[str]) -> MustardgapError:
+def unavailable_error(failures: list[str]) -> MustardgapError:
     """The error for entry hosts none of which could be reached."""
     return MustardgapError(
         code=status_codes.ENTRY_UNAVAILABLE,
--- a/mustardgap/clients.py
+++ b/mustardgap/clients.py
@@ -9,7 +9,7 @@
 from tornado.httpclient import HTTPClientError
 
 from . import status_codes
-from .calls import Calls, Lost, ProblemError, unavailable
+from .calls import EffectUnknown, EntryClient, ProblemError, unavailable_error
 from .exceptions import MustardgapError
 from .models import Change, JobSpec
 from .settings import TlsSettings
@@ -47,7 +47,7 @@
         timeout_s: float = 15.0,
         tls: TlsSettings | None = None,
     ) -> None:
-        self._calls = Calls(entries=entries, timeout_s=timeout_s, tls=tls)
+        self._calls = EntryClient(entries=entries, timeout_s=timeout_s, tls=tls)
 
     def close(self) -> None:
         """Drop all open calls."""
@@ -90,7 +90,7 @@
         """
         query = urlencode({"since": since, **{key: value for key, value in ids.items() if value}})
         entries = await self._all_entries()
-        calls = [self._calls.call_one(entry, "GET", f"/v1/timeline?{query}") for entry in entries]
+        calls = [self._calls.call_entry(entry, "GET", f"/v1/timeline?{query}") for entry in entries]
         answers = await asyncio.gather(*calls, return_exceptions=True)
         events_by_host: dict[str, list[Event]] = {}
         missing = []
@@ -100,7 +100,7 @@
                 continue
             events_by_host[answer["host"]] = [_event(event) for event in answer["events"]]
         if not events_by_host:
-            raise unavailable([f"{entry}: no answer" for entry in missing])
+            raise unavailable_error([f"{entry}: no answer" for entry in missing])
         return MergedTimeline(merge(events_by_host.values()), sorted(events_by_host), missing)
 
     # Changing.
@@ -220,7 +220,9 @@
 
     async def _statuses(self) -> list[dict[str, Any]]:
         """The statuses of all entry hosts that were named; at least one must answer."""
-        calls = [self._calls.call_one(entry, "GET", "/v1/status") for entry in self._calls.entries]
+        calls = [
+            self._calls.call_entry(entry, "GET", "/v1/status") for entry in self._calls.entries
+        ]
         answers = await asyncio.gather(*calls, return_exceptions=True)
         statuses = [answer for answer in answers if isinstance(answer, dict)]
         return statuses or [await self.status()]
@@ -229,8 +231,8 @@
         if not member["operators"]:
             return -1
         try:
-            status = await self._calls.call_one(member["operators"], "GET", "/v1/status")
-        except (Lost, OSError, HTTPClientError, MustardgapError):
+            status = await self._calls.call_entry(member["operators"], "GET", "/v1/status")
+        except (EffectUnknown, OSError, HTTPClientError, MustardgapError):
             return -1
         return int(status["offset"])
 
--- a/mustardgap/executor_links.py
+++ b/mustardgap/executor_links.py
@@ -5,10 +5,10 @@
 from typing import Any, Protocol
 
 from . import cancellations, metrics
+from .adaptive_timeouts import AdaptiveTimeout, OrdersInFlight
 from .crashes import must_run_alone, trial_s
 from .events import EventLog
 from .executor_clocks import ExecutorClock
-from .patience import OrdersUnderWay, Patience
 from .ports import (
     Executors,
     Fenced,
@@ -134,7 +134,7 @@
         clock: Clock,
         events: EventLog,
         shard_starts: asyncio.Semaphore,
-        orders_in_flight: OrdersUnderWay,
+        orders_in_flight: OrdersInFlight,
         inherited_lapse_at: float,
     ) -> None:
         self.entry = entry
@@ -178,7 +178,7 @@
         self._executor_clock = ExecutorClock()
         self._inherited_lapse_at = inherited_lapse_at
         self._silent = False
-        self._patience = Patience()
+        self._patience = AdaptiveTimeout()
         # Whether the last poll got no answer, so that it may still reach the executor.
         self._poll_unanswered = False
         self._acknowledged_number = 0
@@ -300,9 +300,9 @@
 
         :return: whether the executor now counts as silent: the poll had the longest timeout.
         """
-        is_silent = self._silent or self._patience.is_over
+        is_silent = self._silent or self._patience.is_at_max
         self._poll_unanswered = True
-        self._patience.note_missed()
+        self._patience.note_unanswered()
         return is_silent
 
     async def _poll(self) -> Report | Fenced | OtherIncarnation | Refused | NoAnswer:
@@ -548,7 +548,7 @@
                 self._notify_unusable(outcome)
                 return
             unanswered = unanswered or outcome.sent
-            self._patience.note_missed()
+            self._patience.note_unanswered()
             self._events.note(
                 "run.unanswered",
                 vital=True,
@@ -593,7 +593,7 @@
                 fence=self.fence,
                 checkpoint=task.checkpoint,
                 ticket=ticket,
-                patience_s=self._patience.beside(self._orders_in_flight.count),
+                patience_s=self._patience.with_orders_in_flight(self._orders_in_flight.count),
             )
         finally:
             self._orders_in_flight.count -= 1
--- a/mustardgap/executor_rosters.py
+++ b/mustardgap/executor_rosters.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
+from .adaptive_timeouts import OrdersInFlight
 from .events import EventLog
 from .executor_links import LEASE_S, MAX_STARTS_PER_SHARD, ExecutorLink
-from .patience import OrdersUnderWay
 from .ports import Executors
 from .shard_logs import EXECUTOR_KEY
 from .timers import Clock
@@ -52,7 +52,7 @@
         self._clock = clock
         self._events = events
         self._shard_starts = asyncio.Semaphore(MAX_STARTS_PER_SHARD)
-        self._orders_in_flight = OrdersUnderWay()
+        self._orders_in_flight = OrdersInFlight()
         self._link_tasks: dict[str, asyncio.Task[None]] = {}
 
     def close(self) -> None:
--- a/mustardgap/executors.py
+++ b/mustardgap/executors.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Collection
 from typing import Any, NamedTuple, Protocol
 
-from .healths import sign_of
+from .healths import health_sign
 from .models import WorkerInfo
-from .outliers import Outliers, Patient
+from .outliers import Outliers, TrackedExecutor
 from .settings import Settings
 from .timelines import Timeline
 from .timers import Clock, Timers
@@ -129,7 +129,7 @@
         :param result: the result of the try.
         :param took_s: duration of the try in seconds.
         """
-        sign = sign_of(result)
+        sign = health_sign(result)
         # After a pause of this process, its tries seem slow or timed out. If that counted against
         # the executors, healthy ones were ejected, and the sick one had to stay in use because
         # ejection must leave a minimum of executors: it got up to 297 of 600 requests instead of
@@ -142,9 +142,9 @@
             or (sign.by_time and by_own_pause)
             or (sign.failed and process_pause_s >= LONG_PROCESS_PAUSE_S)
         ):
-            self.outliers.skip(executor)
+            self.outliers.release_probe(executor)
         else:
-            self.outliers.note(executor, sign, None if by_own_pause else took_s)
+            self.outliers.note_try(executor, sign, None if by_own_pause else took_s)
 
     def _process_pause_s(self, took_s: float) -> float:
         if self.timers is None:
@@ -158,11 +158,11 @@
         :param idempotent: whether the request may be repeated.
         :return: False if another executor should be used, if there is one.
         """
-        return self.outliers.begin(executor, idempotent=idempotent)
+        return self.outliers.allow_request(executor, idempotent=idempotent)
 
     def skip(self, executor: str) -> None:
         """Note that a try was abandoned because its caller disconnected."""
-        self.outliers.skip(executor)
+        self.outliers.release_probe(executor)
 
     def mark_leaving(self, executor: str, *, from_peer: bool = False) -> None:
         """Stop sending requests to an executor that is about to leave.
@@ -205,7 +205,7 @@
         return _CachedCandidates(self.state.offset, self._version, expires_at, views)
 
     def _is_time_dependent(self, service: str) -> bool:
-        return bool(self._leaving_until) or not self.outliers.settled(service)
+        return bool(self._leaving_until) or not self.outliers.has_constant_weights(service)
 
     def _is_eligible(self, view: ExecutorView, now: float) -> bool:
         host = self.state.hosts_by_name.get(view.worker)
@@ -237,7 +237,9 @@
         for executor, (service, view) in views.items():
             self._views_by_service.setdefault(service, {})[executor] = view
             if executor not in self.outliers.by_executor:
-                patient = Patient(executor=executor, service=service, worker=worker, rack=view.rack)
+                patient = TrackedExecutor(
+                    executor=executor, service=service, worker=worker, rack=view.rack
+                )
                 # In the first listing all executors are new, so no others could take the share of
                 # the work that a slow start withholds from them.
                 self.outliers.add(patient, slowly=not self._is_first_listing)
--- a/mustardgap/headers.py
+++ b/mustardgap/headers.py
@@ -16,15 +16,15 @@
         "upgrade",
     }
 )
-_MADE_FOR_EXECUTORS = frozenset({"content-length", "expect", "x-request-id", "x-request-timeout"})
-_MADE_FOR_CALLERS = frozenset(
+_SET_FOR_EXECUTORS = frozenset({"content-length", "expect", "x-request-id", "x-request-timeout"})
+_SET_FOR_CALLERS = frozenset(
     {"x-request-id", "x-result-code", "x-leaving", "x-not-run", "x-request-timeout"}
 )
 
 
 def forwarded(headers: HTTPHeaders) -> HTTPHeaders:
     """The headers of a request that an executor gets."""
-    dropped = _HOP_BY_HOP | _MADE_FOR_EXECUTORS | _listed(headers)
+    dropped = _HOP_BY_HOP | _SET_FOR_EXECUTORS | _connection_options(headers)
     kept = HTTPHeaders()
     for name, value in headers.get_all():
         if name.lower() not in dropped:
@@ -34,10 +34,10 @@
 
 def returned(headers: HTTPHeaders) -> list[tuple[str, str]]:
     """The headers of an answer that the caller gets."""
-    dropped = _HOP_BY_HOP | _MADE_FOR_CALLERS | _listed(headers)
+    dropped = _HOP_BY_HOP | _SET_FOR_CALLERS | _connection_options(headers)
     return [(name, value) for name, value in headers.get_all() if name.lower() not in dropped]
 
 
-def _listed(headers: HTTPHeaders) -> frozenset[str]:
+def _connection_options(headers: HTTPHeaders) -> frozenset[str]:
     """The fields that the Connection field names as meant for this hop only."""
     return frozenset(name.strip().lower() for name in headers.get("Connection", "").split(","))
--- a/mustardgap/healths.py
+++ b/mustardgap/healths.py
@@ -19,10 +19,10 @@
 HALF_LIFE_S = 5.0
 FAILED_STATUSES = frozenset({500, 502, 503, 504})
 # Standard deviations that an estimate may be off: 1.96 leaves a chance of 2.5 % on that side.
-CONFIDENCE = 1.96
+CONFIDENCE_Z = 1.96
 
 
-class Sign(NamedTuple):
+class HealthSign(NamedTuple):
     """What one try says of an executor's health.
 
     ``hard`` failures are the executor's own; the others may come from the requests or from what
@@ -37,7 +37,7 @@
 
 
 @singledispatch
-def sign_of(result: Any) -> Sign | None:
+def health_sign(result: Any) -> HealthSign | None:
     """What the result of a try says of its executor, None for nothing.
 
     :param result: the result of a try.
@@ -45,43 +45,43 @@
     raise TypeError(f"{type(result).__name__} is not the result of a try")
 
 
-@sign_of.register
-def _(result: NotSent) -> Sign | None:
+@health_sign.register
+def _(result: NotSent) -> HealthSign | None:
     if not result.unreachable:
         return None
-    return Sign(True, hard=True, unreachable=True, by_time=result.by_time)
+    return HealthSign(True, hard=True, unreachable=True, by_time=result.by_time)
 
 
-@sign_of.register
-def _(result: Refused) -> Sign | None:
+@health_sign.register
+def _(result: Refused) -> HealthSign | None:
     # An executor that leaves refuses by plan; it isn't sick.
-    return None if result.leaving else Sign(True)
+    return None if result.leaving else HealthSign(True)
 
 
-@sign_of.register
-def _(result: Complete) -> Sign | None:
-    return Sign(result.status in FAILED_STATUSES)
+@health_sign.register
+def _(result: Complete) -> HealthSign | None:
+    return HealthSign(result.status in FAILED_STATUSES)
 
 
-@sign_of.register
-def _(result: Relayed) -> Sign | None:
-    return Sign(result.status in FAILED_STATUSES)
+@health_sign.register
+def _(result: Relayed) -> HealthSign | None:
+    return HealthSign(result.status in FAILED_STATUSES)
 
 
-@sign_of.register
-def _(result: TimedOut) -> Sign | None:
-    return Sign(True, by_time=True)
+@health_sign.register
+def _(result: TimedOut) -> HealthSign | None:
+    return HealthSign(True, by_time=True)
 
 
-@sign_of.register(Truncated)
-@sign_of.register(Reset)
-@sign_of.register(Mismatch)
-def _(result: Any) -> Sign | None:
-    return Sign(True, hard=True)
+@health_sign.register(Truncated)
+@health_sign.register(Reset)
+@health_sign.register(Mismatch)
+def _(result: Any) -> HealthSign | None:
+    return HealthSign(True, hard=True)
 
 
-@sign_of.register
-def _(result: CallerGone) -> Sign | None:
+@health_sign.register
+def _(result: CallerGone) -> HealthSign | None:
     return None
 
 
@@ -92,30 +92,30 @@
     """
 
     def __init__(self) -> None:
-        self.failures_in_row = 0
+        self.consecutive_failures = 0
         self.tries = 0.0
-        self.timed = 0.0
+        self.timed_tries = 0.0
         self._failures = 0.0
-        self._took_s = 0.0
-        self._faded = 0.0
+        self._total_s = 0.0
+        self._decayed_at = 0.0
 
-    def note(self, sign: Sign, took_s: float | None, now: float) -> None:
+    def note_try(self, sign: HealthSign, took_s: float | None, now: float) -> None:
         """Take in one try.
 
         :param sign: what it says.
         :param took_s: seconds it took, None when that can't be told.
         :param now: monotonic seconds.
         """
-        self._fade(now)
+        self._decay(now)
         self.tries += 1.0
         if took_s is not None:
-            self.timed += 1.0
-            self._took_s += took_s
+            self.timed_tries += 1.0
+            self._total_s += took_s
         if sign.failed:
             self._failures += 1.0
-            self.failures_in_row += 1
+            self.consecutive_failures += 1
         else:
-            self.failures_in_row = 0
+            self.consecutive_failures = 0
 
     @property
     def failure_ratio(self) -> float:
@@ -123,32 +123,32 @@
         return self._failures / self.tries if self.tries else 0.0
 
     @property
-    def surest_failure_ratio(self) -> float:
+    def failure_ratio_lower_bound(self) -> float:
         """The share of failing tries that these tries show at the least.
 
         :return: the lower end of Wilson's interval, 0 to 1; few tries show little.
         """
         if not self.tries:
             return 0.0
-        share, spread = self.failure_ratio, CONFIDENCE**2 / self.tries
-        middle = share + spread / 2
+        share, spread = self.failure_ratio, CONFIDENCE_Z**2 / self.tries
+        center = share + spread / 2
         margin = sqrt(spread * (share * (1 - share) + spread / 4))
-        return max(0.0, (middle - margin) / (1 + spread))
+        return max(0.0, (center - margin) / (1 + spread))
 
     @property
     def mean_s(self) -> float:
         """Seconds that a try took on average."""
-        return self._took_s / self.timed if self.timed else 0.0
+        return self._total_s / self.timed_tries if self.timed_tries else 0.0
 
     def clear(self) -> None:
         """Forget all tries."""
-        self.failures_in_row = 0
-        self.tries = self._failures = self.timed = self._took_s = 0.0
+        self.consecutive_failures = 0
+        self.tries = self._failures = self.timed_tries = self._total_s = 0.0
 
-    def _fade(self, now: float) -> None:
-        factor = 0.5 ** ((now - self._faded) / HALF_LIFE_S) if self._faded else 1.0
-        self._faded = now
+    def _decay(self, now: float) -> None:
+        factor = 0.5 ** ((now - self._decayed_at) / HALF_LIFE_S) if self._decayed_at else 1.0
+        self._decayed_at = now
         self.tries *= factor
         self._failures *= factor
-        self.timed *= factor
-        self._took_s *= factor
+        self.timed_tries *= factor
+        self._total_s *= factor
--- a/mustardgap/http_pools.py
+++ b/mustardgap/http_pools.py
@@ -15,16 +15,16 @@
 
 # Servers close connections that idle for some 15 s; one that is kept for less is seldom met just
 # as it is being closed.
-IDLE_S = 8.0
+MAX_IDLE_S = 8.0
 # A connection that has to be opened may take this share of a call's time, at least this long.
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 # An answer that goes on arriving is waited for beyond its call's time: this long for each part, and
 # for this long in all. Given up and asked for again, an answer that is large for its host's link
 # never arrives whole: on links of 10 Mbit/s repeats of a configuration of 1,600 queues left hardly
 # any room for other calls for 20 s, by the lines of 28 hosts.
-PROGRESS_S = 0.5
-LONGEST_S = 10.0
-MAX_KEPT = 8
+PROGRESS_TIMEOUT_S = 0.5
+MAX_ANSWER_S = 10.0
+MAX_IDLE_PER_ADDRESS = 8
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
@@ -37,12 +37,12 @@
     body: bytes
 
 
-class _Kept:
+class _IdleConnection:
     """An idle connection and since when it idles."""
 
-    def __init__(self, stream: iostream.IOStream, since: float) -> None:
+    def __init__(self, stream: iostream.IOStream, idle_since: float) -> None:
         self.stream = stream
-        self.since = since
+        self.idle_since = idle_since
 
 
 class _Collector(httputil.HTTPMessageDelegate):
@@ -56,7 +56,7 @@
         self.status = 0
         self.headers: httputil.HTTPHeaders = httputil.HTTPHeaders()
         self.chunks: list[bytes] = []
-        self.whole = False
+        self.is_complete = False
 
     def headers_received(
         self,
@@ -72,7 +72,7 @@
         self._on_progress()
 
     def finish(self) -> None:
-        self.whole = True
+        self.is_complete = True
 
 
 class HttpPool:
@@ -84,7 +84,7 @@
 
     def __init__(self) -> None:
         self._client = TCPClient(resolver=NumericResolver())
-        self._kept_by_address: dict[str, deque[_Kept]] = defaultdict(deque)
+        self._idle_by_address: dict[str, deque[_IdleConnection]] = defaultdict(deque)
         self._parameters = HTTP1ConnectionParameters(
             no_keep_alive=False, max_body_size=MAX_BODY_BYTES, max_header_size=65_536
         )
@@ -110,74 +110,78 @@
         """
         self.calls += 1
         loop = asyncio.get_running_loop()
-        limit = asyncio.timeout(timeout_s)
-        latest = loop.time() + max(timeout_s, LONGEST_S)
+        timeout = asyncio.timeout(timeout_s)
+        latest_end = loop.time() + max(timeout_s, MAX_ANSWER_S)
 
-        def wait_on() -> None:
+        def extend_timeout() -> None:
             # Most answers come whole with time to spare, and need no new timer.
-            when = min(loop.time() + PROGRESS_S, latest)
-            if when > (limit.when() or 0.0):
-                limit.reschedule(when)
+            when = min(loop.time() + PROGRESS_TIMEOUT_S, latest_end)
+            if when > (timeout.when() or 0.0):
+                timeout.reschedule(when)
 
-        collector = _Collector(on_progress=wait_on)
+        collector = _Collector(on_progress=extend_timeout)
         stream: iostream.IOStream | None = None
         sent = False
         try:
-            async with limit:
-                stream = self._take(address) or await self._open(address, timeout_s)
+            async with timeout:
+                stream = self._take_idle(address) or await self._open(address, timeout_s)
                 stream.set_close_callback(None)
                 connection = HTTP1Connection(stream, True, self._parameters)
                 sent = True
                 self._write(connection, address, method, target, body, headers)
                 await connection.read_response(collector)
         except TimeoutError:
-            return _lost(stream, sent, "no answer in time")
+            return _no_answer(stream, sent, "no answer in time")
         except (OSError, iostream.StreamClosedError, httputil.HTTPInputError) as exc:
-            return _lost(stream, sent, f"{type(exc).__name__}: {exc}", closed=_is_closed(exc))
+            return _no_answer(stream, sent, f"{type(exc).__name__}: {exc}", closed=_is_closed(exc))
         except asyncio.CancelledError:
             if stream is not None:
                 stream.close()
             raise
-        if not collector.whole:
-            return _lost(stream, sent, "the connection ended before the answer did", closed=True)
-        self._keep(address, stream)
+        if not collector.is_complete:
+            return _no_answer(
+                stream, sent, "the connection ended before the answer did", closed=True
+            )
+        self._put_back(address, stream)
         return HttpAnswer(
             status=collector.status, headers=collector.headers, body=b"".join(collector.chunks)
         )
 
     def close(self) -> None:
         """Close all idle connections."""
-        for kept in self._kept_by_address.values():
-            for one in kept:
-                one.stream.close()
-        self._kept_by_address.clear()
+        for idle in self._idle_by_address.values():
+            for connection in idle:
+                connection.stream.close()
+        self._idle_by_address.clear()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address, for example when one of them went silent."""
-        for kept in self._kept_by_address.pop(address, ()):
-            kept.stream.close()
-
-    def _take(self, address: str) -> iostream.IOStream | None:
-        kept = self._kept_by_address[address]
-        oldest = time.monotonic() - IDLE_S
-        while kept:
-            one = kept.pop()
-            if one.since >= oldest and not one.stream.closed():
-                return one.stream
-            one.stream.close()
+        for connection in self._idle_by_address.pop(address, ()):
+            connection.stream.close()
+
+    def _take_idle(self, address: str) -> iostream.IOStream | None:
+        idle = self._idle_by_address[address]
+        min_idle_since = time.monotonic() - MAX_IDLE_S
+        while idle:
+            connection = idle.pop()
+            if connection.idle_since >= min_idle_since and not connection.stream.closed():
+                return connection.stream
+            connection.stream.close()
         return None
 
-    def _keep(self, address: str, stream: iostream.IOStream) -> None:
-        kept = self._kept_by_address[address]
-        if stream.closed() or len(kept) >= MAX_KEPT:
+    def _put_back(self, address: str, stream: iostream.IOStream) -> None:
+        idle = self._idle_by_address[address]
+        if stream.closed() or len(idle) >= MAX_IDLE_PER_ADDRESS:
             stream.close()
             return
-        kept.append(_Kept(stream, time.monotonic()))
+        idle.append(_IdleConnection(stream, time.monotonic()))
 
     async def _open(self, address: str, timeout_s: float) -> iostream.IOStream:
         host, _, port = address.rpartition(":")
         self.opened += 1
-        stream = await self._client.connect(host, int(port), timeout=min(CONNECT_S, timeout_s))
+        stream = await self._client.connect(
+            host, int(port), timeout=min(CONNECT_TIMEOUT_S, timeout_s)
+        )
         stream.set_nodelay(True)
         return stream
 
@@ -207,7 +211,7 @@
     return isinstance(exc, ConnectionError | iostream.StreamClosedError)
 
 
-def _lost(
+def _no_answer(
     stream: iostream.IOStream | None, sent: bool, detail: str, *, closed: bool = False
 ) -> NoAnswer:
     if stream is not None:
--- a/mustardgap/platform/executor_client.py
+++ b/mustardgap/platform/executor_client.py
@@ -114,7 +114,7 @@
             timeout_s=timeout_s,
         )
         if isinstance(answer, NoAnswer):
-            self._pool.forget(entry.address)
+            self._pool.close_idle(entry.address)
         return answer
 
 
--- a/mustardgap/platform/machine_client.py
+++ b/mustardgap/platform/machine_client.py
@@ -87,7 +87,7 @@
             timeout_s=CALL_S,
         )
         if isinstance(answer, NoAnswer):
-            self._pool.forget(self._address)
+            self._pool.close_idle(self._address)
             return answer
         if answer.status == 200:
             return Done()
--- a/mustardgap/platform/store_client.py
+++ b/mustardgap/platform/store_client.py
@@ -250,7 +250,7 @@
         if isinstance(answer, NoAnswer):
             self._patience_s = min(self._patience_s * 2, CALL_S)
             # After a lost answer the idle connections may be as silent as the one that was used.
-            self._pool.forget(self._address)
+            self._pool.close_idle(self._address)
         elif timeout_s <= CALL_S:
             wait_s = TIMES_LATENCY * (time.monotonic() - began)
             self._patience_s = min(max(wait_s, FIRST_CALL_S), CALL_S)
--- a/mustardgap/relays.py
+++ b/mustardgap/relays.py
@@ -17,20 +17,20 @@
 from .streams import Log
 from .timers import Clock
 
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 CALL_TIMEOUT_S = 2.0
 MAX_RECORDS = 500
 MAX_BYTES = 1024 * 1024
 PART_BYTES = 256 * 1024
-KEEP_SNAPSHOT_S = 30.0
+SNAPSHOT_CACHE_S = 30.0
 
 
-class Kept(NamedTuple):
+class CachedSnapshot(NamedTuple):
     """A snapshot that is being handed out in parts."""
 
     digest: str
     data: bytes
-    made: float
+    made_at: float
 
 
 class Relays:
@@ -54,35 +54,37 @@
         self.members = members
         self.stale_after_s = stale_after_s
         self.clock = clock
-        self._behind_since = -1
-        self._kept: Kept | None = None
-        peers.handle(RecordsAsk, self._give_records)
-        peers.handle(SnapshotAsk, self._give_snapshot)
+        self._behind_at_offset = -1
+        self._cached_snapshot: CachedSnapshot | None = None
+        peers.handle(RecordsAsk, self._answer_records)
+        peers.handle(SnapshotAsk, self._answer_snapshot)
 
     async def run(self) -> None:
         """Ask a peer whenever this daemon may be missing something, until cancelled."""
         while True:
-            await self.clock.sleep(CHECK_S)
-            if not self._may_miss():
+            await self.clock.sleep(CHECK_INTERVAL_S)
+            if not self._may_lack_records():
                 continue
             try:
-                while await self.ask():
+                while await self.ask_peer():
                     pass
             except MustardgapError as exc:
                 logging.debug("a peer gave nothing: %s", exc)
 
-    async def ask(self) -> bool:
+    async def ask_peer(self) -> bool:
         """Ask one peer for what is missing here.
 
         :return: whether anything was missing and has been folded.
         :raises MustardgapError: the peer didn't answer, or what it sent can't be read.
         """
-        peer = self._pick()
+        peer = self._choose_peer()
         if peer is None:
             return False
-        before = self.log.offset
+        offset_before = self.log.offset
         started = self.clock.monotonic()
-        reply = await self.peers.call(peer.id, RecordsAsk(first=before), timeout_s=CALL_TIMEOUT_S)
+        reply = await self.peers.call(
+            peer.id, RecordsAsk(first=offset_before), timeout_s=CALL_TIMEOUT_S
+        )
         if not isinstance(reply, Records):
             return False
         self.log.receive(LogRecord(*record) for record in reply.records)
@@ -91,20 +93,20 @@
             await self._ask_snapshot(peer)
         age_s = reply.age_s + self.clock.monotonic() - started
         self.log.witness(reply.end, age_s)
-        return self.log.offset > before
+        return self.log.offset > offset_before
 
-    def _may_miss(self) -> bool:
+    def _may_lack_records(self) -> bool:
         if self.log.why_not_current is status_codes.RULES_TOO_NEW:
             return False
         if not self.log.current or self.log.fresh_s() > self.stale_after_s / 2:
             return True
-        ahead = any(m.offset > self.log.offset for m in self.members.live())
+        is_behind = any(m.offset > self.log.offset for m in self.members.live())
         # One check later, so that the log's own answer has had its time.
-        still = ahead and self._behind_since == self.log.offset
-        self._behind_since = self.log.offset if ahead else -1
-        return still
+        is_still_behind = is_behind and self._behind_at_offset == self.log.offset
+        self._behind_at_offset = self.log.offset if is_behind else -1
+        return is_still_behind
 
-    def _pick(self) -> Member | None:
+    def _choose_peer(self) -> Member | None:
         others = [m for m in self.members.live() if m.id != self.members.me.id]
         if not others:
             return None
@@ -121,8 +123,8 @@
                 SnapshotAsk(part=len(parts), digest=digest),
                 timeout_s=CALL_TIMEOUT_S,
             )
-            whole = isinstance(reply, Snapshot) and reply.parts and digest in ("", reply.digest)
-            if not whole:
+            is_valid = isinstance(reply, Snapshot) and reply.parts and digest in ("", reply.digest)
+            if not is_valid:
                 return
             digest, count = reply.digest, reply.parts
             parts.append(reply.chunk)
@@ -132,40 +134,43 @@
             raise RecordRejected(code=status_codes.RECORD_INVALID, detail=detail)
         self.log.restore(data)
 
-    def _give_records(self, member: Member, message: RecordsAsk) -> Records:
-        found: list[tuple[int, float, dict[str, Any]]] = []
+    def _answer_records(self, member: Member, message: RecordsAsk) -> Records:
+        records: list[tuple[int, float, dict[str, Any]]] = []
         size = 0
         for record in self.log.recent(message.first, limit=MAX_RECORDS):
             size += len(msgspec.msgpack.encode(record.value))
-            if found and size > MAX_BYTES:
+            if records and size > MAX_BYTES:
                 break
-            found.append((record.offset, record.time, record.value))
+            records.append((record.offset, record.time, record.value))
         return Records(
             first=message.first,
-            records=found,
+            records=records,
             end=self.log.offset,
             age_s=self.log.fresh_s(),
         )
 
-    async def _give_snapshot(self, member: Member, message: SnapshotAsk) -> Snapshot:
-        kept = self._kept
-        if message.part == 0 or kept is None:
-            kept = self._kept = await self._take_snapshot()
-        if message.part and message.digest != kept.digest:
-            return Snapshot(part=message.part, parts=0, digest=kept.digest, chunk=b"")
+    async def _answer_snapshot(self, member: Member, message: SnapshotAsk) -> Snapshot:
+        cached = self._cached_snapshot
+        if message.part == 0 or cached is None:
+            cached = self._cached_snapshot = await self._get_snapshot()
+        if message.part and message.digest != cached.digest:
+            return Snapshot(part=message.part, parts=0, digest=cached.digest, chunk=b"")
         start = message.part * PART_BYTES
         return Snapshot(
             part=message.part,
-            parts=-(-len(kept.data) // PART_BYTES),
-            digest=kept.digest,
-            chunk=kept.data[start : start + PART_BYTES],
+            parts=-(-len(cached.data) // PART_BYTES),
+            digest=cached.digest,
+            chunk=cached.data[start : start + PART_BYTES],
         )
 
-    async def _take_snapshot(self) -> Kept:
+    async def _get_snapshot(self) -> CachedSnapshot:
         now = self.clock.monotonic()
-        if self._kept is not None and now - self._kept.made < KEEP_SNAPSHOT_S:
+        if (
+            self._cached_snapshot is not None
+            and now - self._cached_snapshot.made_at < SNAPSHOT_CACHE_S
+        ):
             # Many daemons may start at once; the records since then are sent one by one.
-            return self._kept
+            return self._cached_snapshot
         packed = snapshots.pack(self.log.state)
         data = await asyncio.to_thread(snapshots.compress, packed)
-        return Kept(xxhash.xxh3_128_hexdigest(data), data, now)
+        return CachedSnapshot(xxhash.xxh3_128_hexdigest(data), data, now)
--- a/mustardgap/retries.py
+++ b/mustardgap/retries.py
@@ -5,12 +5,12 @@
 from .timers import Clock
 
 MAX_TOKENS = 10.0
-TRICKLE_PER_S = 1.0
+REFILL_PER_S = 1.0
 
 
 class _Bucket(NamedTuple):
     tokens: float
-    filled: float
+    filled_at: float
 
 
 class RetryBudget:
@@ -45,7 +45,7 @@
     def _add(self, service: str, tokens: float) -> float:
         now = self.clock.monotonic()
         bucket = self._buckets_by_service.get(service, _Bucket(MAX_TOKENS, now))
-        earned = tokens + (now - bucket.filled) * TRICKLE_PER_S
+        earned = tokens + (now - bucket.filled_at) * REFILL_PER_S
         bucket = _Bucket(min(MAX_TOKENS, bucket.tokens + earned), now)
         self._buckets_by_service[service] = bucket
         return bucket.tokens
--- a/mustardgap/upstreams.py
+++ b/mustardgap/upstreams.py
@@ -100,8 +100,8 @@
     async def _connect(
         self, executor: ExecutorAddress, deadline: float
     ) -> iostream.IOStream | NotSent:
-        left = deadline - self.clock.monotonic()
-        if left <= 0:
+        remaining_s = deadline - self.clock.monotonic()
+        if remaining_s <= 0:
             return NotSent(detail="the deadline passed", unreachable=False)
         host, _, port = executor.address.rpartition(":")
         try:
@@ -109,7 +109,7 @@
                 host.strip("[]"),
                 int(port),
                 max_buffer_size=STREAM_BUFFER_BYTES,
-                timeout=min(left, self.settings.requests.connect_timeout_s),
+                timeout=min(remaining_s, self.settings.requests.connect_timeout_s),
             )
         except (OSError, TimeoutError, iostream.StreamClosedError) as exc:
             # With less time left than a connection may take, it says nothing of the executor.
@@ -129,8 +129,8 @@
     ) -> TryResult:
         # A process that was frozen while it connected finds its deadline passed here, and no
         # step between this check and the first byte gives up control.
-        left = deadline - self.clock.monotonic()
-        if left <= 0:
+        remaining_s = deadline - self.clock.monotonic()
+        if remaining_s <= 0:
             return NotSent(detail="the deadline passed", unreachable=False)
         if not _is_open(stream):
             return NotSent(detail="the connection was closed before the request was sent")
@@ -146,14 +146,14 @@
             sink=sink,
         )
         loop = asyncio.get_running_loop()
-        timers = [loop.call_later(left, answer.time_out)]
+        timers = [loop.call_later(remaining_s, answer.time_out)]
         if patience is not None:
             timers.append(loop.call_later(patience.seconds, answer.lose_patience, patience))
         try:
             # Closing the stream ends a wait for the executor, but not one for a caller that takes
             # no more of its answer; that one is ended by the time-out.
-            async with asyncio.timeout(left + TIMEOUT_SLACK_S):
-                self._write(connection, request, try_id, left)
+            async with asyncio.timeout(remaining_s + TIMEOUT_SLACK_S):
+                self._write(connection, request, try_id, remaining_s)
                 await connection.read_response(answer)
         except iostream.StreamClosedError as exc:
             answer.broken(str(exc.real_error or exc))
@@ -167,11 +167,11 @@
         return answer.result or Reset(detail="no answer")
 
     def _write(
-        self, connection: HTTP1Connection, request: Request, try_id: str, left: float
+        self, connection: HTTP1Connection, request: Request, try_id: str, remaining_s: float
     ) -> None:
         headers = header_rules.forwarded(request.headers)
         headers["X-Request-Id"] = try_id
-        headers["X-Request-Timeout"] = f"{left:.3f}"
+        headers["X-Request-Timeout"] = f"{remaining_s:.3f}"
         headers["Connection"] = "close"
         if request.body or request.method in ("POST", "PUT", "PATCH"):
             headers["Content-Length"] = str(len(request.body))
