--- a/mustardgap/adaptive_timeouts.py
+++ b/mustardgap/adaptive_timeouts.py
@@ -1,50 +1,49 @@
-"""How long an answer is waited for, by how long the last ones took."""
+"""A timeout for answers that adapts to the latency of the last ones."""
 
-# Executors answer within a few milliseconds. An answer that isn't there after this, and a few times
-# what they take now, is taken for lost and asked for again.
+# Executors answer within a few milliseconds. An answer that takes longer than this, and a few times
+# their latency, is considered lost and requested again.
 MIN_TIMEOUT_S = 0.15
 MAX_TIMEOUT_S = 0.6
 LATENCY_FACTOR = 3.0
-# Each answer that didn't come lets the next one take longer, as the executor or this host may have
-# become slow.
+# Each missing answer extends the next timeout, as the executor or this host may have become slow.
 BACKOFF_FACTOR = 2.0
-# What one order takes of a small host's processor. In a burst the last order goes out when all
-# before it have, and its answer isn't lost for that.
+# CPU time of one order on a small host. In a burst, the last order is sent after all the others,
+# and its answer isn't lost because of that delay.
 ORDER_CPU_S = 0.02
 
 
 class OrdersInFlight:
-    """Counts the orders that a process has under way."""
+    """Counts the unanswered start orders of a shard."""
 
     def __init__(self) -> None:
         self.count = 0
 
 
 class AdaptiveTimeout:
-    """The time that is given to the next answer beyond what was asked for."""
+    """The timeout of the next answer, in addition to the wait that its request asks for."""
 
     def __init__(self) -> None:
         self.seconds = MIN_TIMEOUT_S
 
     @property
     def is_at_max(self) -> bool:
-        """Whether the next answer has the longest time, so that silence means something."""
+        """Whether the timeout is the longest, so that a missing answer is significant."""
         return self.seconds >= MAX_TIMEOUT_S
 
     def with_orders_in_flight(self, orders: int) -> float:
-        """The time for an order that is sent beside others.
+        """Return the timeout of an order that is sent along with others, in seconds.
 
-        :param orders: how many orders are under way.
+        :param orders: the number of unanswered orders.
         """
         return min(self.seconds + orders * ORDER_CPU_S, MAX_TIMEOUT_S)
 
     def note_unanswered(self) -> None:
-        """Give the next answer more time."""
+        """Extend the timeout after a missing answer."""
         self.seconds = min(self.seconds * BACKOFF_FACTOR, MAX_TIMEOUT_S)
 
     def note_answered(self, took_s: float) -> None:
-        """Give the next answer as long as this one suggests.
+        """Set the timeout by the latency of an answer.
 
-        :param took_s: how long it took beyond what was asked for.
+        :param took_s: its latency in seconds, without the wait that its request asked for.
         """
         self.seconds = min(max(took_s * LATENCY_FACTOR, MIN_TIMEOUT_S), MAX_TIMEOUT_S)
--- a/mustardgap/calls.py
+++ b/mustardgap/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' interface: any entry host will do, and a lost answer is told apart."""
+"""Calls the operators' interface on any entry host; unknown effects have an error of their own."""
 
 import asyncio
 import socket
@@ -20,13 +20,13 @@
 MAX_CALLS = 32
 CONNECT_TIMEOUT_S = 2.0
 CONNECT_TRIES = 3
-# A time-out that is noticed later than this came to a process that didn't run when it was due.
+# If a timeout is noticed later than this, the process was paused when it was due.
 LATE_TIMEOUT_S = 0.01
 HARMLESS_PATH = "/v1/status"
-# What Tornado's text says of a time-out that came before anything was sent.
+# Parts of Tornado's message if a timeout occurred before anything was sent.
 _UNSENT_PHASES = ("in request queue", "while resolving", "while connecting")
 
-# An entry host that answers with one of these hasn't done anything, and another one may.
+# An entry host that answers with one of these codes couldn't serve the call; another one may.
 _TRY_NEXT_CODES = {
     code.number
     for code in (
@@ -43,7 +43,7 @@
 class ProblemError(MustardgapError):
     """An entry host answered with a problem.
 
-    :param body: the whole problem, such as ``changed`` of a rejected change.
+    :param body: the problem's fields, such as ``changed`` of a rejected change.
     """
 
     def __init__(self, *, body: dict[str, Any], **kwargs: Any) -> None:
@@ -52,15 +52,15 @@
 
 
 class EffectUnknown(Exception):
-    """A call to one entry host may have had its effect."""
+    """A call to one entry host may have taken effect."""
 
 
 class EntryClient:
-    """Calls entry hosts in turn until one can answer.
+    """Calls entry hosts in turn until one can serve the call.
 
-    :param entries: ``ip:port`` of the operators' port of entry hosts.
-    :param timeout_s: seconds one call may take.
-    :param tls: the keys to use, None for plain HTTP.
+    :param entries: the ``ip:port`` of each entry host's port for operators.
+    :param timeout_s: timeout of one call.
+    :param tls: the keys and certificates to use, None for plain HTTP.
     """
 
     def __init__(
@@ -78,14 +78,14 @@
         )
 
     def close(self) -> None:
-        """Drop all open calls."""
+        """Cancel all open calls."""
         self._http.close()
 
     async def call(self, method: str, path: str, body: Any = None) -> Any:
-        """Call the first entry host that can answer.
+        """Call the first entry host that can serve the call.
 
-        :raises ProblemError: an entry host answered with a problem that no other one can mend.
-        :raises MustardgapError: MG6001 when none could be reached, MG5001 when an answer was lost.
+        :raises ProblemError: an entry host answered with a problem that no other one can solve.
+        :raises MustardgapError: MG6001 if none could be reached, MG5001 if the effect is unknown.
         """
         failures: list[str] = []
         effect_unknown = False
@@ -117,7 +117,7 @@
         """Call one entry host.
 
         :raises ProblemError: it answered with a problem.
-        :raises Lost: the call may have had its effect.
+        :raises EffectUnknown: the call may have taken effect.
         :raises OSError: nothing was sent.
         """
         if self._ssl and method != "GET":
@@ -125,16 +125,16 @@
         return _decode(entry, await self._fetch(entry, method, path, body))
 
     async def _check_certificate(self, entry: str) -> None:
-        """Get any answer from an entry host before a request that could take effect goes there.
+        """Check that an entry host accepts this certificate, before a change is sent to it.
 
-        Under TLS 1.3 the client's handshake ends before the host has looked at the client's
-        certificate. If the host refuses it and the alert gets lost, the client sees only a closed
-        connection, as from a host that read a change and died: the operator would be told that a
-        change may be in force which nobody read. A host that has answered a request on this
-        certificate does serve it, and a harmless request has no effect in doubt. It costs one
-        more round trip for each change.
+        In TLS 1.3 the client's handshake ends before the host has checked the client's
+        certificate. If the host rejects it and the alert is lost, the client only sees a closed
+        connection, as if the host had crashed after it read the change: the operator would be told
+        that a change may be in force though no host read it. So a request without effects is sent
+        first; any answer to it shows that the certificate is accepted. This costs one more round
+        trip for each change.
 
-        :raises ConnectionError: it closed the connection without an answer.
+        :raises ConnectionError: the host gave no answer.
         """
         try:
             await self._fetch(entry, "GET", HARMLESS_PATH)
@@ -145,12 +145,12 @@
             ) from None
 
     async def _fetch(self, entry: str, method: str, path: str, body: Any = None) -> HTTPResponse:
-        """Send a request and read its answer, however long this process is held up at first.
+        """Send a request and read its answer, even if this process is paused while it connects.
 
-        A process that was stopped while it connected finds its time over before it looks at the
-        connection, which may have been there all along. Entry hosts that are well were taken for
-        unreachable, and one that had a change was said not to have it. A time-out that is noticed
-        late shows the hold-up, and as nothing was sent, connecting again is harmless.
+        After such a pause, connecting times out although the connection may have been made
+        meanwhile. Healthy entry hosts were then reported as unreachable, and one that had a change
+        as not having it. A timeout that is noticed late shows the pause, and as nothing was sent,
+        it is safe to connect again.
         """
         request = self._request(entry, method, path, body)
         clock = asyncio.get_running_loop().time
@@ -179,15 +179,15 @@
     async def _send(self, request: HTTPRequest) -> HTTPResponse:
         """Send a request once.
 
-        :raises Lost: it may have had its effect.
-        :raises HTTPTimeoutError: the time was over before anything was sent.
+        :raises EffectUnknown: it may have taken effect.
+        :raises HTTPTimeoutError: it timed out before anything was sent.
         """
         try:
             return await self._http.fetch(request, raise_error=False)
         except (ConnectionRefusedError, socket.gaierror):
             raise
         except HTTPTimeoutError as exc:
-            # Tornado tells by its text alone whether anything was sent by then.
+            # Only the text of Tornado's exception tells whether anything was sent.
             if any(phase in str(exc) for phase in _UNSENT_PHASES):
                 raise
             raise EffectUnknown(str(exc)) from None
@@ -198,7 +198,7 @@
 
 
 def _is_certificate_rejected(exc: ssl.SSLError) -> bool:
-    """Whether one end turned down the other's certificate, so that no request was looked at."""
+    """Whether one side rejected the other's certificate, so that no request was processed."""
     return "CERTIFICATE" in (exc.reason or "") or "UNKNOWN_CA" in (exc.reason or "")
 
 
@@ -221,7 +221,7 @@
 
 
 def unavailable_error(failures: list[str]) -> MustardgapError:
-    """The error for entry hosts none of which could be reached."""
+    """Return the error if no entry host could be reached."""
     return MustardgapError(
         code=status_codes.ENTRY_UNAVAILABLE,
         detail="; ".join(failures) or "no entry host is named",
--- a/mustardgap/headers.py
+++ b/mustardgap/headers.py
@@ -1,8 +1,8 @@
-"""Which headers are passed on between callers and executors."""
+"""Selects the headers that are forwarded between callers and executors."""
 
 from tornado.httputil import HTTPHeaders
 
-# RFC 9110 section 7.6.1, and the fields that this hop makes anew.
+# RFC 9110 section 7.6.1, and the fields that this hop sets itself.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -23,7 +23,7 @@
 
 
 def forwarded(headers: HTTPHeaders) -> HTTPHeaders:
-    """The headers of a request that an executor gets."""
+    """Return the headers of a request that are forwarded to an executor."""
     dropped = _HOP_BY_HOP | _SET_FOR_EXECUTORS | _connection_options(headers)
     kept = HTTPHeaders()
     for name, value in headers.get_all():
@@ -33,11 +33,11 @@
 
 
 def returned(headers: HTTPHeaders) -> list[tuple[str, str]]:
-    """The headers of an answer that the caller gets."""
+    """Return the headers of an answer that are returned to the caller."""
     dropped = _HOP_BY_HOP | _SET_FOR_CALLERS | _connection_options(headers)
     return [(name, value) for name, value in headers.get_all() if name.lower() not in dropped]
 
 
 def _connection_options(headers: HTTPHeaders) -> frozenset[str]:
-    """The fields that the Connection field names as meant for this hop only."""
+    """Return the fields that the Connection field limits to this hop."""
     return frozenset(name.strip().lower() for name in headers.get("Connection", "").split(","))
--- a/mustardgap/healths.py
+++ b/mustardgap/healths.py
@@ -1,4 +1,4 @@
-"""How healthy an executor looks from the tries that were sent to it."""
+"""Estimates the health of an executor from the tries that were sent to it."""
 
 from functools import singledispatch
 from math import sqrt
@@ -18,16 +18,16 @@
 
 HALF_LIFE_S = 5.0
 FAILED_STATUSES = frozenset({500, 502, 503, 504})
-# Standard deviations that an estimate may be off: 1.96 leaves a chance of 2.5 % on that side.
+# Width of the confidence interval in standard deviations: 1.96 leaves 2.5 % on each side.
 CONFIDENCE_Z = 1.96
 
 
 class HealthSign(NamedTuple):
-    """What one try says of an executor's health.
+    """What one try indicates about an executor's health.
 
-    ``hard`` failures are the executor's own; the others may come from the requests or from what
-    stands behind all executors. ``unreachable`` is when no connection was made. ``by_time`` is when
-    nothing was seen but that the time was over.
+    ``hard`` failures are caused by the executor itself; others may be caused by the request or a
+    dependency of all executors. ``unreachable`` means that no connection was made. ``by_time``
+    means that nothing but a timeout was observed.
     """
 
     failed: bool
@@ -38,7 +38,7 @@
 
 @singledispatch
 def health_sign(result: Any) -> HealthSign | None:
-    """What the result of a try says of its executor, None for nothing.
+    """Return what the result of a try indicates about its executor, None for nothing.
 
     :param result: the result of a try.
     """
@@ -54,7 +54,7 @@
 
 @health_sign.register
 def _(result: Refused) -> HealthSign | None:
-    # An executor that leaves refuses by plan; it isn't sick.
+    # A leaving executor refuses requests as planned; it isn't sick.
     return None if result.leaving else HealthSign(True)
 
 
@@ -86,9 +86,9 @@
 
 
 class Health:
-    """The recent tries at one executor; old ones fade with a half-life of some seconds.
+    """The recent tries at one executor; older ones decay with a half-life of ``HALF_LIFE_S``.
 
-    ``tries`` is how many there are, ``timed`` of how many it is known how long they took.
+    ``tries`` is their number, ``timed_tries`` the number of those with a known duration.
     """
 
     def __init__(self) -> None:
@@ -100,11 +100,11 @@
         self._decayed_at = 0.0
 
     def note_try(self, sign: HealthSign, took_s: float | None, now: float) -> None:
-        """Take in one try.
+        """Add one try.
 
-        :param sign: what it says.
-        :param took_s: seconds it took, None when that can't be told.
-        :param now: monotonic seconds.
+        :param sign: what the try indicates.
+        :param took_s: duration of the try in seconds, None if unknown.
+        :param now: the time in monotonic seconds.
         """
         self._decay(now)
         self.tries += 1.0
@@ -124,9 +124,9 @@
 
     @property
     def failure_ratio_lower_bound(self) -> float:
-        """The share of failing tries that these tries show at the least.
+        """The lower bound of the true failure ratio, given these tries.
 
-        :return: the lower end of Wilson's interval, 0 to 1; few tries show little.
+        :return: the lower bound of the Wilson score interval, 0 to 1; it is low for few tries.
         """
         if not self.tries:
             return 0.0
@@ -137,7 +137,7 @@
 
     @property
     def mean_s(self) -> float:
-        """Seconds that a try took on average."""
+        """The mean duration of a try in seconds."""
         return self._total_s / self.timed_tries if self.timed_tries else 0.0
 
     def clear(self) -> None:
--- a/mustardgap/http_pools.py
+++ b/mustardgap/http_pools.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 calls over kept connections, bounded in time."""
+"""HTTP/1.1 calls over pooled connections, with time limits."""
 
 import asyncio
 import time
@@ -13,15 +13,15 @@
 from .ports import NoAnswer
 from .resolvers import NumericResolver
 
-# Servers close connections that idle for some 15 s; one that is kept for less is seldom met just
-# as it is being closed.
+# Servers close connections that have been idle for about 15 s. With a shorter limit, a request is
+# seldom sent on a connection that is just being closed.
 MAX_IDLE_S = 8.0
-# A connection that has to be opened may take this share of a call's time, at least this long.
+# Connecting may take this much of a call's timeout at most.
 CONNECT_TIMEOUT_S = 1.0
-# An answer that goes on arriving is waited for beyond its call's time: this long for each part, and
-# for this long in all. Given up and asked for again, an answer that is large for its host's link
-# never arrives whole: on links of 10 Mbit/s repeats of a configuration of 1,600 queues left hardly
-# any room for other calls for 20 s, by the lines of 28 hosts.
+# While an answer keeps arriving, its call's timeout is extended: by this long for each part, up to
+# this long in total. If a large answer were abandoned and requested again, it would never arrive
+# completely: on links of 10 Mbit/s, repeats of a configuration of 1,600 queues left hardly any
+# bandwidth for other calls for 20 s, according to the logs of 28 hosts.
 PROGRESS_TIMEOUT_S = 0.5
 MAX_ANSWER_S = 10.0
 MAX_IDLE_PER_ADDRESS = 8
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HttpAnswer:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     headers: Mapping[str, str]
@@ -38,7 +38,7 @@
 
 
 class _IdleConnection:
-    """An idle connection and since when it idles."""
+    """An idle connection and when it became idle."""
 
     def __init__(self, stream: iostream.IOStream, idle_since: float) -> None:
         self.stream = stream
@@ -48,7 +48,7 @@
 class _Collector(httputil.HTTPMessageDelegate):
     """Collects one answer.
 
-    :param on_progress: called when a part of it has come.
+    :param on_progress: called when a part of it has arrived.
     """
 
     def __init__(self, *, on_progress: Callable[[], None]) -> None:
@@ -76,10 +76,10 @@
 
 
 class HttpPool:
-    """Sends requests over kept connections; one connection carries one request at a time.
+    """Sends requests over pooled connections; a connection carries one request at a time.
 
-    A call that gets no answer in time closes its connection: a late answer must not meet the next
-    request, and a connection that went silent would fail each call after it.
+    A call that times out closes its connection: a late answer must not be mistaken for the answer
+    to the next request, and on a broken connection each later call would fail.
     """
 
     def __init__(self) -> None:
@@ -101,12 +101,12 @@
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
     ) -> HttpAnswer | NoAnswer:
-        """Send one request and wait for its whole answer.
+        """Send one request and wait for its complete answer.
 
         :param address: ``ip:port``.
-        :param target: path with query.
-        :param timeout_s: seconds for connecting, sending and the answer's first part.
-        :return: the answer, or ``NoAnswer`` with whether a byte may have gone out.
+        :param target: the path with the query.
+        :param timeout_s: timeout for connecting, sending and the first part of the answer.
+        :return: the answer, or ``NoAnswer`` with whether a byte may have been sent.
         """
         self.calls += 1
         loop = asyncio.get_running_loop()
@@ -114,7 +114,7 @@
         latest_end = loop.time() + max(timeout_s, MAX_ANSWER_S)
 
         def extend_timeout() -> None:
-            # Most answers come whole with time to spare, and need no new timer.
+            # Most answers are complete well before the timeout, and need no new timer.
             when = min(loop.time() + PROGRESS_TIMEOUT_S, latest_end)
             if when > (timeout.when() or 0.0):
                 timeout.reschedule(when)
@@ -155,7 +155,7 @@
         self._idle_by_address.clear()
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to an address, for example when one of them went silent."""
+        """Close the idle connections to an address, for example after a timeout on one."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.stream.close()
 
@@ -205,7 +205,7 @@
 
 
 def _is_closed(exc: Exception) -> bool:
-    """Whether the other side closed or refused a connection, rather than its host being away."""
+    """Whether the peer closed or refused the connection, so that its host is still up."""
     if isinstance(exc, iostream.StreamClosedError) and exc.real_error is not None:
         return isinstance(exc.real_error, ConnectionError)
     return isinstance(exc, ConnectionError | iostream.StreamClosedError)
--- a/mustardgap/outliers.py
+++ b/mustardgap/outliers.py
@@ -1,7 +1,7 @@
-"""Which executors of a service are sick: ejected for a time, then probed, then slowly used again.
+"""Detects sick executors, ejects them for a time, probes them, and slowly uses them again.
 
-Ejection never goes below a floor. Signs may be wrong or come from something that all executors
-share; below the floor a sick executor only gets the smallest share of the work.
+Ejection never leaves fewer executors than a floor, as health signs may be wrong or have a cause
+that all executors share. At the floor, a sick executor only gets the smallest share of the work.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -23,7 +23,8 @@
 CHECK_INTERVAL_S = 0.25
 MIN_TRIES = 10.0
 MIN_PEER_TRIES = 3.0
-# How far from its peers an executor must be: by itself, over their median, and by a factor.
+# By how much an executor must differ from its peers: a failure ratio of its own, margins over their
+# median, and a factor of it.
 MIN_FAILURE_RATIO = 0.2
 FAILURE_MARGIN = 0.1
 LATENCY_MARGIN_S = 0.05
@@ -31,19 +32,19 @@
 MAX_DOUBLINGS = 5
 RETURNING_FAILURE_LIMIT = 2
 IDEMPOTENT_PROBE_S = 10.0
-# Above this share of failures among the peers, failures don't speak against one executor.
+# From this failure ratio of the peers on, failures aren't attributed to a single executor.
 COMMON_FAILURE_RATIO = 0.3
-# Failures of this many workers of one rack within this time make the rest of it suspect.
+# After this many unreachable workers of a rack within this time, one such failure ejects others.
 RACK_FAILING_WORKERS = 2
 RACK_WINDOW_S = 5.0
 
 
 class TrackedExecutor:
-    """One executor with its health.
+    """The state and health of one executor.
 
     :param executor: the executor's id.
     :param service: its service.
-    :param worker: the worker it is on.
+    :param worker: the worker that it runs on.
     :param rack: that worker's rack.
     """
 
@@ -61,12 +62,12 @@
 
 
 class Outliers:
-    """Watches the executors of all services.
+    """Detects outliers among the executors of each service.
 
-    :param settings: when to eject and for how long.
+    :param settings: when and for how long executors are ejected.
     :param clock: the clocks to read.
-    :param timeline: where ejections and returns are noted.
-    :param floor: a function that gives how many executors of a service must stay.
+    :param timeline: records the state changes of executors.
+    :param floor: returns how many executors of a service must stay in use.
     :param on_change: called with the service of an executor whose state has changed.
     """
 
@@ -90,7 +91,7 @@
         self._checked_at_by_service: dict[str, float] = {}
 
     def add(self, tracked: TrackedExecutor, *, slowly: bool) -> None:
-        """Watch an executor; ``slowly`` lets its share grow from the smallest."""
+        """Track an executor; with ``slowly``, its share of work grows from the smallest."""
         self.by_executor[tracked.executor] = tracked
         self._by_service.setdefault(tracked.service, {})[tracked.executor] = tracked
         self._by_rack.setdefault(tracked.rack, set()).add(tracked.executor)
@@ -98,18 +99,18 @@
             self._set_state(tracked, "returning", self.settings.slow_start_s, cause="new")
 
     def remove(self, executor: str) -> None:
-        """Forget an executor."""
+        """Stop tracking an executor."""
         tracked = self.by_executor.pop(executor, None)
         if tracked is not None:
             self._by_service[tracked.service].pop(executor, None)
             self._by_rack[tracked.rack].discard(executor)
 
     def note_try(self, executor: str, sign: HealthSign, took_s: float | None) -> None:
-        """Take in a try.
+        """Update an executor's health with a try.
 
         :param executor: the executor's id.
-        :param sign: what the try says.
-        :param took_s: seconds it took, None when that can't be told.
+        :param sign: what the try indicates.
+        :param took_s: duration of the try in seconds, None if unknown.
         """
         tracked = self.by_executor.get(executor)
         if tracked is None or tracked.state == "ejected":
@@ -130,14 +131,14 @@
             self._check_service(tracked.service)
 
     def release_probe(self, executor: str) -> None:
-        """Take in a try that says nothing, or that was given up; a probe may be made again."""
+        """Note that a try was inconclusive or abandoned, so that another probe may be sent."""
         tracked = self.by_executor.get(executor)
         if tracked is not None and tracked.is_probed:
             tracked.is_probed = False
             self.on_change(tracked.service)
 
     def weight(self, executor: str) -> float:
-        """The share of work an executor gets: 1 for a full one, 0 for none."""
+        """Return an executor's share of work, from 0 for none to 1 for a full share."""
         tracked = self.by_executor.get(executor)
         if tracked is None or tracked.state == "well":
             return 1.0
@@ -145,8 +146,8 @@
         if tracked.state == "ejected":
             return 0.0
         if tracked.state == "probing":
-            # A full share for the one probe: with less, nothing would come while the others have
-            # slots to spare, and it would be missing when they haven't.
+            # The probe needs a full share: with less, the executor would get no request while
+            # others have free slots, and its slot would be missing when they have none.
             return 0.0 if tracked.is_probed else 1.0
         if tracked.state == "returning":
             progress = (
@@ -156,10 +157,11 @@
         return MIN_WEIGHT if tracked.state != "well" else 1.0
 
     def allow_request(self, executor: str, *, idempotent: bool) -> bool:
-        """Ask whether a request may go to an executor now.
+        """Check whether a request may be sent to an executor now, and note a probe.
 
-        One that was ejected gets a single request that may be repeated, and nothing more until that
-        is answered. A service may have no such requests at all, so after some time any will do.
+        After its ejection, an executor gets one idempotent request as a probe, and no other until
+        that one is answered. A service may have no idempotent requests, so after some time any
+        request may be the probe.
 
         :param executor: the executor's id.
         :param idempotent: whether the request may be repeated.
@@ -177,7 +179,7 @@
         return True
 
     def has_constant_weights(self, service: str) -> bool:
-        """Whether no weight of a service changes by time alone."""
+        """Whether no weight of a service changes with time alone."""
         return all(p.state == "well" for p in self._by_service.get(service, {}).values())
 
     def _failure_limit(self, tracked: TrackedExecutor, sign: HealthSign) -> int:
@@ -190,11 +192,12 @@
         return self.settings.eject_after
 
     def _peers_are_healthy(self, tracked: TrackedExecutor) -> bool:
-        """Whether failures that may come from the requests speak against this executor.
+        """Whether failures that the requests may have caused can be attributed to this executor.
 
-        While all requests fail, the executor that is the first to fail five of them has peers with
-        a try or two each. Taken for the only sick one, it was ejected for what all had in common.
-        So too few tries at each peer are added up, and none at all show nothing.
+        While all requests fail, the first executor with five failures has peers with one or two
+        tries each. It was ejected as the only sick one, though the cause was common to all. So if
+        no peer has enough tries, those of all peers are added up; without enough, the result is
+        False.
         """
         peers = [p.health for p in self._by_service[tracked.service].values() if p is not tracked]
         ratios = [health.failure_ratio for health in peers if health.tries >= MIN_PEER_TRIES]
@@ -205,8 +208,8 @@
         return tries >= MIN_PEER_TRIES and failures < COMMON_FAILURE_RATIO * tries
 
     def _is_rack_failing(self, tracked: TrackedExecutor) -> bool:
-        # A rack's executors fail together. Waiting for each to fail in a row would cost as many
-        # requests as there are executors; two of the rack's other workers are sign enough.
+        # The executors of a rack fail together. Waiting for several failures of each would cost
+        # requests at every one of them; two other workers of the rack are enough evidence.
         since = self.clock.monotonic() - RACK_WINDOW_S
         others = (self.by_executor[e] for e in self._by_rack[tracked.rack])
         failing = {p.worker for p in others if p.unreachable_at > since}
@@ -220,7 +223,7 @@
             )
 
     def _check_service(self, service: str) -> None:
-        """Eject the one executor that stands out most from its peers."""
+        """Eject at most one executor: the worst one that is an outlier among its peers."""
         comparable = [
             p
             for p in self._by_service[service].values()
@@ -254,7 +257,7 @@
         return len(tracked_executors) - ejected - 1 >= floor
 
     def _expire_state(self, tracked: TrackedExecutor) -> None:
-        """Let time have its effect on a state."""
+        """Move an executor to its next state if the time of its state is over."""
         now = self.clock.monotonic()
         if now < tracked.state_ends_at:
             return
@@ -266,7 +269,7 @@
             self._set_state(tracked, "returning", self.settings.slow_start_s, cause="time is over")
         elif tracked.state == "returning":
             self._set_state(tracked, "well", 0.0, cause="slow start is over")
-            # Not at once to zero: one that fails again soon is ejected for longer.
+            # Not reset to zero, so that an executor that soon fails again is ejected for longer.
             tracked.ejections = max(0, tracked.ejections - 1)
 
     def _set_state(
@@ -277,7 +280,7 @@
         tracked.is_probed = False
         tracked.state_ends_at = self.clock.monotonic() + duration_s
         if state == "ejected" or has_recovered:
-            # All that comes up starts slowly: a line for each start would drown these.
+            # Every new executor starts slowly, and a line for each would bury these lines.
             logging.info("executor %s is %s: %s", tracked.executor, state, cause)
         self.timeline.add(
             f"executor.{state}",
@@ -294,10 +297,10 @@
 
 
 def _outlier_reason(health: Health, peers: Collection[Health]) -> str:
-    """Why an executor stands out from its peers, "" when it doesn't.
+    """Return why an executor is an outlier among its peers, "" if it isn't.
 
-    Measured against the median of the others: what troubles all of them alike, such as bad requests
-    or a slow store behind them, is no reason to go to fewer of them.
+    It is compared with the median of its peers: a cause that affects all of them, such as bad
+    requests or a slow store behind them, is no reason to use fewer of them.
     """
     return _failure_reason(health, peers) or _latency_reason(health, peers)
 
@@ -305,8 +308,8 @@
 def _failure_reason(health: Health, peers: Iterable[Health]) -> str:
     ratio = median(p.failure_ratio for p in peers)
     threshold = ratio * MEDIAN_FACTOR + FAILURE_MARGIN
-    # A lower share counts too once it is certain. By a fixed share alone an executor that fails 19
-    # of 100 stays for good, and one that fails 3 of 10 goes or stays by the moment of the check.
+    # A lower ratio counts too once it is certain. With a fixed ratio alone, an executor that fails
+    # 19 of 100 tries is never ejected, and one that fails 3 of 10 depending on the time of a check.
     is_certain = health.failure_ratio_lower_bound > threshold
     if is_certain or health.failure_ratio > max(MIN_FAILURE_RATIO, threshold):
         return f"{health.failure_ratio:.0%} of tries fail, {ratio:.0%} elsewhere"
@@ -314,9 +317,9 @@
 
 
 def _latency_reason(health: Health, peers: Iterable[Health]) -> str:
-    # After this host was held up many tries count without their time. Judged by the few times that
-    # are left, or beside peers that have none, an executor was ejected for one slow read, or for
-    # its usual times. As many times as tries are needed for a judgement show more than chance.
+    # After a pause of this process, many tries count without a duration. When the few remaining
+    # durations were compared, or peers had none, an executor was ejected for one slow read or for
+    # its usual latency. So as many durations are required as tries for a decision.
     means = [p.mean_s for p in peers if p.timed_tries >= MIN_PEER_TRIES]
     if health.timed_tries < MIN_TRIES or not means:
         return ""
--- a/mustardgap/relays.py
+++ b/mustardgap/relays.py
@@ -1,4 +1,4 @@
-"""Passing on what the log holds between peers, for a daemon that is cut off from the log."""
+"""Relays log records between peers, for a daemon that can't reach the log."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 class CachedSnapshot(NamedTuple):
-    """A snapshot that is being handed out in parts."""
+    """A snapshot that is sent to peers in parts."""
 
     digest: str
     data: bytes
@@ -34,15 +34,15 @@
 
 
 class Relays:
-    """Asks peers for records when the log doesn't give them, and answers peers that ask.
+    """Requests records from peers if the log doesn't provide them, and answers such requests.
 
-    Nothing is sent while all daemons read the log themselves, so in ordinary times it costs no
-    bytes.
+    Nothing is sent while all daemons read the log themselves, so it costs no traffic in normal
+    operation.
 
-    :param log: the log to feed and to answer from.
-    :param peers: carries the messages.
-    :param members: the members, with the offsets they have told.
-    :param stale_after_s: the bound of staleness; asking starts at half of it.
+    :param log: the log that received records are added to, and sent records come from.
+    :param peers: sends the messages.
+    :param members: the members, with the offsets that they have reported.
+    :param stale_after_s: the limit of staleness; peers are asked from half of it on.
     :param clock: the clocks to read.
     """
 
@@ -60,7 +60,7 @@
         peers.handle(SnapshotAsk, self._answer_snapshot)
 
     async def run(self) -> None:
-        """Ask a peer whenever this daemon may be missing something, until cancelled."""
+        """Ask a peer whenever this daemon may lack records, until cancelled."""
         while True:
             await self.clock.sleep(CHECK_INTERVAL_S)
             if not self._may_lack_records():
@@ -69,13 +69,13 @@
                 while await self.ask_peer():
                     pass
             except MustardgapError as exc:
-                logging.debug("a peer gave nothing: %s", exc)
+                logging.debug("no records from a peer: %s", exc)
 
     async def ask_peer(self) -> bool:
-        """Ask one peer for what is missing here.
+        """Ask one peer for the records that this daemon lacks.
 
-        :return: whether anything was missing and has been folded.
-        :raises MustardgapError: the peer didn't answer, or what it sent can't be read.
+        :return: whether missing records were received and folded.
+        :raises MustardgapError: the peer didn't answer, or its answer can't be read.
         """
         peer = self._choose_peer()
         if peer is None:
@@ -89,7 +89,7 @@
             return False
         self.log.receive(LogRecord(*record) for record in reply.records)
         if self.log.offset < reply.end and not reply.records:
-            # It no longer keeps the next record one by one.
+            # The peer no longer has the next record, only the state.
             await self._ask_snapshot(peer)
         age_s = reply.age_s + self.clock.monotonic() - started
         self.log.witness(reply.end, age_s)
@@ -101,7 +101,7 @@
         if not self.log.current or self.log.fresh_s() > self.stale_after_s / 2:
             return True
         is_behind = any(m.offset > self.log.offset for m in self.members.live())
-        # One check later, so that the log's own answer has had its time.
+        # Only if it is still behind at the next check, so that the log has had time to answer.
         is_still_behind = is_behind and self._behind_at_offset == self.log.offset
         self._behind_at_offset = self.log.offset if is_behind else -1
         return is_still_behind
@@ -110,7 +110,8 @@
         others = [m for m in self.members.live() if m.id != self.members.me.id]
         if not others:
             return None
-        # At random among those that are furthest: one that hangs isn't asked for ever.
+        # A random one that is ahead, else one of the furthest, so that no unresponsive one is asked
+        # forever.
         furthest = max(m.offset for m in others)
         return random.choice([m for m in others if m.offset >= min(furthest, self.log.offset + 1)])
 
@@ -169,7 +170,7 @@
             self._cached_snapshot is not None
             and now - self._cached_snapshot.made_at < SNAPSHOT_CACHE_S
         ):
-            # Many daemons may start at once; the records since then are sent one by one.
+            # Many daemons may start at once; records since the snapshot are sent individually.
             return self._cached_snapshot
         packed = snapshots.pack(self.log.state)
         data = await asyncio.to_thread(snapshots.compress, packed)
--- a/mustardgap/retries.py
+++ b/mustardgap/retries.py
@@ -1,4 +1,4 @@
-"""The budget of retries: a share of first tries, for each service."""
+"""A retry budget for each service, as a share of its first tries."""
 
 from typing import NamedTuple
 
@@ -14,9 +14,9 @@
 
 
 class RetryBudget:
-    """Lets retries be at most a share of first tries, so that they can't multiply an overload.
+    """Limits retries to a share of first tries, so that they can't amplify an overload.
 
-    Each first try of a service earns ``ratio`` tokens and each retry spends one. A trickle lets
+    Each first try of a service earns ``ratio`` tokens and each retry spends one. A slow refill lets
     services with few requests retry too.
 
     :param ratio: retries allowed per first try.
@@ -33,9 +33,9 @@
         self._add(service, self.ratio)
 
     def spend(self, service: str) -> bool:
-        """Take one retry out of the budget.
+        """Take one retry from the budget.
 
-        :return: whether there was one.
+        :return: False if the budget is exhausted.
         """
         if self.ratio == 0 or self._add(service, 0.0) < 1.0:
             return False
--- a/mustardgap/routes.py
+++ b/mustardgap/routes.py
@@ -1,4 +1,4 @@
-"""Which service and profile a request belongs to, by the longest declared path prefix."""
+"""Finds the service and profile of a request by the longest declared path prefix."""
 
 from typing import Any, NamedTuple, Protocol
 
@@ -8,28 +8,28 @@
 
 
 class Route(NamedTuple):
-    """A service with what its profile says of requests."""
+    """A service, and the request settings of its profile."""
 
     service: str
     urgency: int
     limits: Limits | None
 
     def is_idempotent(self, method: str) -> bool:
-        """Whether a request by this method may run more than once."""
+        """Whether a request with this method may run more than once."""
         if method in SAFE_METHODS:
             return True
         return self.limits is not None and method in self.limits["idempotent_methods"]
 
 
 class HasDeclarations(Protocol):
-    """The part of the folded state that is read here."""
+    """The part of the folded state that is needed here."""
 
     offset: int
     declarations_by_key: dict[str, Declaration]
 
 
 class Routes:
-    """Finds routes in the folded state; the table is made anew when the state has moved on.
+    """Finds routes in the folded state; the table is rebuilt when the state's offset changes.
 
     :param state: the folded state.
     """
@@ -42,7 +42,7 @@
     def match(self, target: str) -> Route | None:
         """Find the route of a request.
 
-        :param target: the request's path, with its query or without.
+        :param target: the request's path, with or without the query.
         """
         if self._offset != self.state.offset:
             self._by_path = _build(self.state.declarations_by_key)
--- a/mustardgap/upstreams.py
+++ b/mustardgap/upstreams.py
@@ -1,4 +1,4 @@
-"""One request to one executor over a connection of its own, and what became of it."""
+"""Sends one request to one executor over a new connection, and returns the result."""
 
 import asyncio
 import socket
@@ -24,7 +24,7 @@
 
 
 class Request(NamedTuple):
-    """A caller's request, its body whole; ``target`` is the path with its query."""
+    """A caller's request with its complete body; ``target`` is the path with the query."""
 
     request_id: str
     method: str
@@ -34,7 +34,7 @@
 
 
 class ExecutorAddress(Protocol):
-    """What is needed to reach an executor."""
+    """The id and address of an executor."""
 
     @property
     def executor(self) -> str:
@@ -48,9 +48,9 @@
 class Upstreams:
     """Sends requests to executors, each over a new connection.
 
-    A pooled connection may have gone silent while it was idle: the request would be lost without
-    a sign. A new connection proves itself by its handshake, and a request that found none is
-    known not to have been sent.
+    A pooled connection may have broken silently while it was idle, and a request on it would be
+    lost unnoticed. With a new connection, the handshake shows that the executor is reachable, and
+    if connecting fails, the request certainly wasn't sent.
 
     :param settings: the daemon's settings.
     :param clock: the clocks to read.
@@ -81,11 +81,11 @@
 
         :param request: the caller's request.
         :param executor: where to send it.
-        :param deadline: the clock's monotonic seconds by which the answer must be there.
-        :param sink: takes answers that are too large to be held; without it they are held.
-        :param on_sent: called just before the first byte goes out.
-        :param patience: bounds the wait for the first sign of an answer.
-        :return: a tagged result; nothing is raised for failures of the executor.
+        :param deadline: time by which the answer must be complete, in monotonic seconds.
+        :param sink: receives answers that are too large to buffer; without it they are buffered.
+        :param on_sent: called just before the first byte is sent.
+        :param patience: limits the wait for the first sign of an answer.
+        :return: the result; failures of the executor are returned too, not raised.
         """
         stream = await self._connect(executor, deadline)
         if isinstance(stream, NotSent):
@@ -93,8 +93,8 @@
         try:
             return await self._exchange(stream, request, deadline, sink, on_sent, patience)
         finally:
-            # Also after a time-out: a late answer finds no connection, so it can't be taken for
-            # the answer to another request.
+            # Also after a timeout, so that a late answer can't be mistaken for the answer to
+            # another request.
             stream.close()
 
     async def _connect(
@@ -112,7 +112,7 @@
                 timeout=min(remaining_s, self.settings.requests.connect_timeout_s),
             )
         except (OSError, TimeoutError, iostream.StreamClosedError) as exc:
-            # With less time left than a connection may take, it says nothing of the executor.
+            # If the deadline ended the connecting, the executor may not be the cause.
             unreachable = self.clock.monotonic() < deadline
             detail = f"no connection to {executor.executor}: {exc}"
             by_time = isinstance(exc, TimeoutError)
@@ -127,8 +127,8 @@
         on_sent: Callable[[], None] | None,
         patience: Patience | None,
     ) -> TryResult:
-        # A process that was frozen while it connected finds its deadline passed here, and no
-        # step between this check and the first byte gives up control.
+        # The process may have been frozen while it connected, so the deadline is checked again.
+        # Nothing between this check and the first byte yields to the event loop.
         remaining_s = deadline - self.clock.monotonic()
         if remaining_s <= 0:
             return NotSent(detail="the deadline passed", unreachable=False)
@@ -150,8 +150,8 @@
         if patience is not None:
             timers.append(loop.call_later(patience.seconds, answer.lose_patience, patience))
         try:
-            # Closing the stream ends a wait for the executor, but not one for a caller that takes
-            # no more of its answer; that one is ended by the time-out.
+            # Closing the stream ends a wait for the executor, but not a wait for a caller that
+            # stopped reading its answer; this timeout ends the latter.
             async with asyncio.timeout(remaining_s + TIMEOUT_SLACK_S):
                 self._write(connection, request, try_id, remaining_s)
                 await connection.read_response(answer)
@@ -181,10 +181,10 @@
 
 
 def _is_open(stream: iostream.IOStream) -> bool:
-    # An executor that accepts and closes at once, for example while it is being replaced, would
-    # cost a non-idempotent request its outcome. Nothing has been written yet, so seeing the end
-    # of the connection here shows that the request wasn't sent. When the loop has seen it first,
-    # the stream is closed already and has no socket to look at.
+    # An executor may accept a connection and close it at once, for example while it is being
+    # replaced. The outcome of a non-idempotent request would then be unknown. Nothing has been
+    # written yet, so if the connection is closed here, the request wasn't sent. If the event loop
+    # noticed it first, the stream is already closed and has no socket to check.
     if stream.closed():
         return False
     try:
