--- a/features/steps/http_pools_steps.py
+++ b/features/steps/http_pools_steps.py
@@ -1,4 +1,4 @@
-"""Steps of calls over kept connections, against a server that answers part by part."""
+"""Steps of HTTP calls over pooled connections, against a server that answers in parts."""
 
 import asyncio
 import contextlib
@@ -10,17 +10,17 @@
 
 PART = b"x" * 1000
 PARTS = 8
-# Of the parts: how many come, and the pause before each, in seconds.
+# How many parts arrive, and the pause before each in seconds.
 COURSES = {
-    "comes at once": (PARTS, 0.0),
-    "comes in 8 parts, 0.1 s apart": (PARTS, 0.1),
+    "arrives at once": (PARTS, 0.0),
+    "arrives in 8 parts, 0.1 s apart": (PARTS, 0.1),
     "stops after 2 parts": (2, 0.0),
     "never begins": (None, 0.0),
 }
 
 
-@when("a call with {seconds:g} s for its answer gets one that {course}")
-def call(context, seconds, course):
+@when("an HTTP call with a timeout of {seconds:g} s gets an answer that {course}")
+def call_answered(context, seconds, course):
     count, pause_s = COURSES[course]
 
     async def answer(reader, writer):
@@ -31,7 +31,7 @@
                 await asyncio.sleep(pause_s)
                 writer.write(PART)
                 await writer.drain()
-        # Cancelled when the loop ends, which asyncio's streams would report as an error.
+        # It is cancelled when the loop ends, which asyncio's streams would report as an error.
         with contextlib.suppress(asyncio.CancelledError):
             await reader.read()
         writer.close()
@@ -40,7 +40,7 @@
 
 
 async def _call(answer, seconds, *, listens=True):
-    """Call a server on a port of its own, which may have stopped listening."""
+    """Call a server on a free port, which may have stopped listening."""
     server = await asyncio.start_server(answer, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     if not listens:
@@ -55,23 +55,23 @@
     return answered
 
 
-@then("the call's answer was {taken}")
-def was_taken(context, taken):
+@then("the HTTP call's answer was {taken}")
+def check_answer(context, taken):
     got = context.answer
-    if taken == "whole":
+    if taken == "received":
         assert isinstance(got, HttpAnswer) and got.body == PART * PARTS, got
     else:
         assert not isinstance(got, HttpAnswer) and got.sent, got
 
 
-@when("a call with {seconds:g} s for its answer meets a connection that was {ended}")
-def call_ends(context, seconds, ended):
+@when("an HTTP call with a timeout of {seconds:g} s uses a connection that was {ended}")
+def call_interrupted(context, seconds, ended):
     async def answer(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         if ended == "left silent":
             with contextlib.suppress(asyncio.CancelledError):
                 await reader.read()
-        elif ended == "reset amid the answer":
+        elif ended == "reset during the answer":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
             await writer.drain()
             writer.transport.abort()
@@ -81,8 +81,8 @@
     context.answer = asyncio.run(_call(answer, seconds, listens=ended != "refused"))
 
 
-@then("the call without an answer tells that the connection was {told}")
-def tells_closed(context, told):
+@then("the HTTP call without an answer reports the connection as {reported}")
+def check_closed(context, reported):
     got = context.answer
     assert isinstance(got, NoAnswer), got
-    assert got.closed is (told == "closed"), got
+    assert got.closed is (reported == "closed"), got
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -1,4 +1,4 @@
-"""Steps for passing on records and snapshots between peers."""
+"""Steps for relaying records and snapshots between peers."""
 
 import asyncio
 import time
@@ -16,14 +16,20 @@
     patch = mock.patch.object(relays, "PART_BYTES", 4096)
     patch.start()
     context.add_cleanup(patch.stop)
-    for name in names.removesuffix(" mute").removesuffix(" unhurried").split(", "):
-        world.relay(name, stale_after_s=60.0 if names.endswith(" unhurried") else 0.0)
-    if names.endswith(" mute"):
+    for name in (
+        names.removesuffix(" with C unresponsive")
+        .removesuffix(" with a long staleness limit")
+        .split(", ")
+    ):
+        world.relay(
+            name, stale_after_s=60.0 if names.endswith(" with a long staleness limit") else 0.0
+        )
+    if names.endswith(" with C unresponsive"):
         world.peers_by_name["C"].mute = True
 
 
 async def write_all(log, count, at_once):
-    """Write changes of keys of their own."""
+    """Write changes, each of a different key."""
     for first in range(0, count, at_once):
         writes = [
             log.write("config", change(f"r{n}"), timeout_s=20.0, purpose="operators")
@@ -49,11 +55,11 @@
     world.relay(name)
 
 
-@then("the relayed daemon {name} has all and stays fresh")
+@then("the relayed daemon {name} has all records and stays fresh")
 def check_fresh(context, name):
     world = context.world
     log, source = world.logs_by_name[name], world.logs_by_name["A"]
-    world.until(lambda: log.offset == world.end(), "all is passed on")
+    world.until(lambda: log.offset == world.end(), "all records are relayed")
     assert log.state.digest() == source.state.digest()
     bound = log.settings.stale_after_s
     world.until(lambda: log.current and log.fresh_s() < bound, "it is fresh")
@@ -61,7 +67,7 @@
     world.until(lambda: log.fresh_s() < bound, "it is fresh again")
 
 
-@then("the relayed daemon {name} lacks some and gets stale")
+@then("the relayed daemon {name} lacks records and becomes stale")
 def check_stale(context, name):
     world = context.world
     log = world.logs_by_name[name]
@@ -70,7 +76,7 @@
     assert log.fresh_s() >= time.monotonic() - context.since - 0.1, log.fresh_s()
 
 
-@when("the log is out of reach of all daemons for {seconds:d} seconds")
+@when("no daemon can reach the log for {seconds:d} seconds")
 def cut_all_off(context, seconds):
     world = context.world
     world.control.fault("silent", on="/log/*")
@@ -92,7 +98,7 @@
 
 @then("the relayed daemons have hardly asked each other")
 def check_no_calls(context):
-    # On a machine that is held up for half a second, a daemon may rightly ask.
+    # If the machine pauses for half a second, a daemon may correctly ask a peer.
     calls = {name: peers.calls for name, peers in context.world.peers_by_name.items()}
     assert sum(calls.values()) <= 6, calls
 
@@ -104,11 +110,11 @@
     for leaving, coming in zip(old.split(", "), new.split(", "), strict=True):
         log = world.start(coming)
         world.relay(coming)
-        world.until(lambda log=log: log.offset == world.end(), "a peer gave the state")
+        world.until(lambda log=log: log.offset == world.end(), "a peer sent the state")
         world.stop(leaving)
 
 
-@when("the log comes back with nothing kept")
+@when("the log comes back without its records")
 def come_back(context):
     world = context.world
     world.control.fault("expired", count=0)
--- a/features/support/relays.py
+++ b/features/support/relays.py
@@ -1,4 +1,4 @@
-"""A link in a thread of its own, for steps that block."""
+"""A link that runs in its own thread, for steps that block."""
 
 import asyncio
 import threading
@@ -7,10 +7,10 @@
 
 
 class ThreadedLink:
-    """Passes connections on to a port until told otherwise.
+    """Forwards connections to a port, until it is silenced.
 
-    :param port: where it listens.
-    :param target: the port it passes on to.
+    :param port: the port that it listens on.
+    :param target: the port that it forwards to.
     """
 
     def __init__(self, *, port: int, target: int) -> None:
@@ -21,7 +21,7 @@
         asyncio.run_coroutine_threadsafe(self._open(), self._loop).result(5)
 
     def silence(self, *, new: bool = False) -> None:
-        """Let all open connections swallow what is sent; new ones too if told."""
+        """Drop all bytes sent on the open connections, with ``new`` also on new ones."""
         self._loop.call_soon_threadsafe(lambda: self._link.silence(new=new))
 
     def admit(self) -> None:
@@ -33,7 +33,7 @@
         self._loop.call_soon_threadsafe(self._link.reset)
 
     def stop(self) -> None:
-        """End the relay."""
+        """Stop the link and its thread."""
         asyncio.run_coroutine_threadsafe(self._close(), self._loop).result(5)
         self._loop.call_soon_threadsafe(self._loop.stop)
 
