--- a/mustardgap/retries.py
+++ b/mustardgap/retries.py
@@ -1,22 +1,22 @@
-"""The budget of retries: a share of first tries, for each service."""
+"""A retry budget for each service, as a share of its first tries."""
 
 from typing import NamedTuple
 
 from .timers import Clock
 
 MAX_TOKENS = 10.0
-TRICKLE_PER_S = 1.0
+REFILL_PER_S = 1.0
 
 
 class _Bucket(NamedTuple):
     tokens: float
-    filled: float
+    filled_at: float
 
 
 class RetryBudget:
-    """Lets retries be at most a share of first tries, so that they can't multiply an overload.
+    """Limits retries to a share of first tries, so that they can't amplify an overload.
 
-    Each first try of a service earns ``ratio`` tokens and each retry spends one. A trickle lets
+    Each first try of a service earns ``ratio`` tokens and each retry spends one. A slow refill lets
     services with few requests retry too.
 
     :param ratio: retries allowed per first try.
@@ -33,9 +33,9 @@
         self._add(service, self.ratio)
 
     def spend(self, service: str) -> bool:
-        """Take one retry out of the budget.
+        """Take one retry from the budget.
 
-        :return: whether there was one.
+        :return: False if the budget is exhausted.
         """
         if self.ratio == 0 or self._add(service, 0.0) < 1.0:
             return False
@@ -45,7 +45,7 @@
     def _add(self, service: str, tokens: float) -> float:
         now = self.clock.monotonic()
         bucket = self._buckets_by_service.get(service, _Bucket(MAX_TOKENS, now))
-        earned = tokens + (now - bucket.filled) * TRICKLE_PER_S
+        earned = tokens + (now - bucket.filled_at) * REFILL_PER_S
         bucket = _Bucket(min(MAX_TOKENS, bucket.tokens + earned), now)
         self._buckets_by_service[service] = bucket
         return bucket.tokens
