--- a/features/steps/slots_steps.py
+++ b/features/steps/slots_steps.py
@@ -78,7 +78,7 @@
 
 
 async def renew(entry):
-    entry.members.renew()
+    entry.members.start_new_incarnation()
 
 
 @then("slots are refused by those {few:d}, which reach no majority")
--- a/features/support/peer_process.py
+++ b/features/support/peer_process.py
@@ -120,7 +120,7 @@
 
     async def run(self) -> None:
         """Run all parts."""
-        self.timers.subscribe("gossip", self.settings.peers.gossip_s, self.gossiper.turn)
+        self.timers.subscribe("gossip", self.settings.peers.gossip_s, self.gossiper.run_round)
         runs = [self.timers.run, self.peers.run, self.slots.run, self.broker.run]
         runs += [self.reader.read_on, self.reader.act_on]
         await asyncio.gather(*(run() for run in runs))
--- a/mustardgap/channels.py
+++ b/mustardgap/channels.py
@@ -61,10 +61,10 @@
 
 
 def _options(settings: PeersSettings) -> list[tuple[str, int]]:
-    silent_ms = int(settings.suspect_s * 1000)
+    timeout_ms = int(settings.suspect_s * 1000)
     return [
         ("grpc.keepalive_time_ms", 10_000),
-        ("grpc.keepalive_timeout_ms", silent_ms),
+        ("grpc.keepalive_timeout_ms", timeout_ms),
         ("grpc.keepalive_permit_without_calls", 1),
         ("grpc.http2.max_pings_without_data", 0),
         ("grpc.http2.min_ping_interval_without_data_ms", 5_000),
@@ -83,11 +83,11 @@
     """Credentials that follow the files; grpc asks for them anew with each connection."""
     certificates = Certificates(settings=tls)
 
-    def changed() -> grpc.ServerCertificateConfiguration | None:
+    def fetch_changed() -> grpc.ServerCertificateConfiguration | None:
         return _configuration(certificates.files) if certificates.reload() else None
 
     return grpc.dynamic_ssl_server_credentials(
-        _configuration(certificates.files), changed, require_client_authentication=True
+        _configuration(certificates.files), fetch_changed, require_client_authentication=True
     )
 
 
@@ -98,10 +98,10 @@
 
 
 def _channel_credentials(tls: TlsSettings) -> grpc.ChannelCredentials:
-    return grpc.ssl_channel_credentials(*_read(tls))
+    return grpc.ssl_channel_credentials(*_read_credentials(tls))
 
 
-def _read(tls: TlsSettings) -> tuple[bytes, bytes, bytes]:
+def _read_credentials(tls: TlsSettings) -> tuple[bytes, bytes, bytes]:
     """Read authority, key and certificate; each new stream so takes renewed files."""
     try:
         authority, key, certificate = (
--- a/mustardgap/enrolments.py
+++ b/mustardgap/enrolments.py
@@ -74,7 +74,7 @@
         run = (own["state"], own["incarnation"]) if own is not None else ("", 0)
         if run == ("gone", self.members.me.incarnation):
             # The others have taken this run's share over; only a new run may go on.
-            self.members.renew()
+            self.members.start_new_incarnation()
         for body in self.entries.due():
             await self._write(body)
 
--- a/mustardgap/gossip.py
+++ b/mustardgap/gossip.py
@@ -37,9 +37,9 @@
         self.settings = peers.settings
         self.notices_by_key: dict[tuple[str, str], Notice] = {}
         self._callbacks_by_kind: dict[str, list[NoticeCallback]] = {}
-        peers.handle(Gossip, self._take)
-        peers.on_open(self._opened)
-        self.members.on_change(self._changed)
+        peers.handle(Gossip, self._apply)
+        peers.on_open(self._on_open)
+        self.members.on_change(self._on_change)
 
     def on_notice(self, kind: str, callback: NoticeCallback) -> None:
         """Call back with key, value and the peer that passed it on, when a notice is new."""
@@ -63,7 +63,7 @@
         now = self.timers.clock.monotonic()
         self.notices_by_key[kind, key] = Notice(stamp, now + ttl_s, value)
         if urgent:
-            self._tell(self.peers.connected())
+            self._send_updates(self.peers.connected())
 
     def notice(self, kind: str, key: str) -> Any:
         """The value of a notice that hasn't lapsed, or None."""
@@ -72,61 +72,63 @@
             return None
         return found.value
 
-    def turn(self) -> None:
+    def run_round(self) -> None:
         """Tell a few connected peers what is new to them; called every ``peers.gossip_s``."""
-        self.members.check()
+        self.members.expire_members()
         self._expire()
         connected = self.peers.connected()
-        self._tell(random.sample(connected, min(self.settings.peers.fanout, len(connected))))
+        self._send_updates(
+            random.sample(connected, min(self.settings.peers.fanout, len(connected)))
+        )
 
-    def _tell(self, member_ids: list[str]) -> None:
+    def _send_updates(self, member_ids: list[str]) -> None:
         for member_id in member_ids:
             link = self.peers.links_by_id[member_id]
-            message = self._news(link)
+            message = self._updates_for(link)
             if message.rows or message.deltas or message.notices:
                 self.peers.send(member_id, message)
 
-    def _news(self, link: Link) -> Gossip:
+    def _updates_for(self, link: Link) -> Gossip:
         rows: list[MemberRow] = []
         deltas: list[MemberDelta] = []
         for m in list(self.members.by_id.values()):
-            word = (m.version, int(m.state), m.offset)
-            told = link.known.get(m.incarnation)
-            if told == word or len(rows) + len(deltas) >= MAX_ROWS:
+            current = (m.version, int(m.state), m.offset)
+            known = link.known_by_peer.get(m.incarnation)
+            if known == current or len(rows) + len(deltas) >= MAX_ROWS:
                 continue
-            if told is None and m.id != link.member_id:
+            if known is None and m.id != link.member_id:
                 rows.append(row_of(m))
             else:
-                deltas.append(MemberDelta(m.incarnation, *word))
-            link.known[m.incarnation] = word
+                deltas.append(MemberDelta(m.incarnation, *current))
+            link.known_by_peer[m.incarnation] = current
         return Gossip(rows, deltas, self._notices(link))
 
     def _notices(self, link: Link) -> list[NoticeRow]:
         now = self.timers.clock.monotonic()
         found: list[NoticeRow] = []
         for key, notice in self.notices_by_key.items():
-            if link.known.get(key) == notice.stamp or len(found) >= MAX_ROWS:
+            if link.known_by_peer.get(key) == notice.stamp or len(found) >= MAX_ROWS:
                 continue
-            left = notice.until - now
-            if left > 0:
-                found.append(NoticeRow(*key, notice.stamp, round(left, 1), notice.value))
-                link.known[key] = notice.stamp
+            remaining_s = notice.until - now
+            if remaining_s > 0:
+                found.append(NoticeRow(*key, notice.stamp, round(remaining_s, 1), notice.value))
+                link.known_by_peer[key] = notice.stamp
         return found
 
-    def _take(self, sender: Member, message: Gossip) -> None:
+    def _apply(self, sender: Member, message: Gossip) -> None:
         link = self.peers.links_by_id.get(sender.id)
-        known = link.known if link is not None else {}
+        known = link.known_by_peer if link is not None else {}
         for row in message.rows:
             known[row.incarnation] = (row.version, row.state, row.offset)
-            self.members.take_row(row)
+            self.members.apply_row(row)
         for delta in message.deltas:
             known[delta.incarnation] = (delta.version, delta.state, delta.offset)
-            self.members.take_delta(delta)
+            self.members.apply_delta(delta)
         for notice in message.notices:
             known[notice.kind, notice.key] = notice.stamp
-            self._take_notice(sender, notice)
+            self._apply_notice(sender, notice)
 
-    def _take_notice(self, sender: Member, row: NoticeRow) -> None:
+    def _apply_notice(self, sender: Member, row: NoticeRow) -> None:
         key = (row.kind, row.key)
         old = self.notices_by_key.get(key)
         if old is not None and old.stamp >= row.stamp:
@@ -143,10 +145,10 @@
         for key in [k for k, n in self.notices_by_key.items() if n.until < now]:
             del self.notices_by_key[key]
 
-    def _opened(self, member: Member) -> None:
-        self._tell([member.id])
+    def _on_open(self, member: Member) -> None:
+        self._send_updates([member.id])
 
-    def _changed(self, member: Member, old: Member | None) -> None:
+    def _on_change(self, member: Member, old: Member | None) -> None:
         """Pass on at once that a member leaves or denies a suspicion."""
         if member.id == self.members.me.id or member.state is MemberState.leaving:
-            self._tell(self.peers.connected())
+            self._send_updates(self.peers.connected())
--- a/mustardgap/links.py
+++ b/mustardgap/links.py
@@ -9,7 +9,7 @@
 from .messages import AnyMessage, Item
 from .timers import Clock
 
-MAX_ITEMS_A_FRAME = 500
+MAX_ITEMS_PER_FRAME = 500
 
 
 class HasPeers(Protocol):
@@ -36,11 +36,11 @@
         self.clock = Clock()
         self.last_read = self.last_write = self.clock.monotonic()
 
-    def heard(self) -> None:
+    def record_read(self) -> None:
         """Note that something was read."""
         self.last_read = self.clock.monotonic()
 
-    def wrote(self) -> None:
+    def record_write(self) -> None:
         """Note that something was written."""
         self.last_write = self.clock.monotonic()
 
@@ -66,9 +66,9 @@
         self.items: deque[Item] = deque()
         self.wake = asyncio.Event()
         self.stream: Stream | None = None
-        self.known: dict[Any, Any] = {}
+        self.known_by_peer: dict[Any, Any] = {}
         self.dropped = 0
-        self._used = clock.monotonic()
+        self._queued_at = clock.monotonic()
         self._failing_since: float | None = None
 
     def put(self, item: Item, max_queued: int) -> bool:
@@ -76,7 +76,7 @@
 
         :return: False when the queue is full.
         """
-        self._used = self.clock.monotonic()
+        self._queued_at = self.clock.monotonic()
         if len(self.items) >= max_queued:
             self.dropped += 1
             return False
@@ -84,9 +84,9 @@
         self.wake.set()
         return True
 
-    def take(self) -> list[Item]:
+    def next_items(self) -> list[Item]:
         """Take what goes into the next frame."""
-        count = min(len(self.items), MAX_ITEMS_A_FRAME)
+        count = min(len(self.items), MAX_ITEMS_PER_FRAME)
         return [self.items.popleft() for _ in range(count)]
 
     def attach(self, stream: Stream, silent_s: float) -> bool:
@@ -102,7 +102,7 @@
                 return False
             old.closed.set()
         self.stream = stream
-        self.known.clear()
+        self.known_by_peer.clear()
         self._failing_since = None
         self.wake.set()
         return True
@@ -118,12 +118,12 @@
         if self.stream is not None:
             self.detach(self.stream)
 
-    def fail(self) -> None:
+    def record_failure(self) -> None:
         """Note that no stream could be opened."""
         if self._failing_since is None:
             self._failing_since = self.clock.monotonic()
 
-    def failed_for(self) -> float:
+    def failing_for(self) -> float:
         """Seconds since the first of the present failures."""
         if self._failing_since is None:
             return 0.0
@@ -131,4 +131,4 @@
 
     def idle_for(self) -> float:
         """Seconds since something was queued."""
-        return self.clock.monotonic() - self._used
+        return self.clock.monotonic() - self._queued_at
--- a/mustardgap/members.py
+++ b/mustardgap/members.py
@@ -83,7 +83,7 @@
     :param timers: the timer service.
     """
 
-    FORGET_S = 120.0
+    FORGET_DEAD_AFTER_S = 120.0
 
     def __init__(self, *, me: Member, settings: Settings, timers: Timers) -> None:
         self.me = me
@@ -146,7 +146,7 @@
                 hosts.discard(host)
         return hosts
 
-    def say(
+    def update_me(
         self,
         *,
         offset: int | None = None,
@@ -160,7 +160,7 @@
             me = me._replace(state=state, version=me.version + 1)
         self._put(me)
 
-    def renew(self, after: int = 0) -> None:
+    def start_new_incarnation(self, after: int = 0) -> None:
         """Go on under a new incarnation; what was held under the old one is void."""
         old = self.me
         incarnation = self.next_incarnation(max(after, old.incarnation))
@@ -173,7 +173,7 @@
         """A number above that of any run of this host."""
         return new_incarnation(after)
 
-    def heard(self, member_id: str) -> None:
+    def record_contact(self, member_id: str) -> None:
         """Note that a member was heard of directly; that ends a suspicion of this daemon's."""
         m = self.by_id.get(member_id)
         if m is not None:
@@ -185,19 +185,19 @@
         if m is not None and m.state is MemberState.live and m.id != self.me.id:
             self._put(m._replace(state=MemberState.suspect))
 
-    def check(self) -> None:
+    def expire_members(self) -> None:
         """Declare dead what was suspected, or has been leaving, for too long; forget the dead."""
         now = self.timers.clock.monotonic()
         for m in list(self.by_id.values()):
             if m.id == self.me.id:
                 continue
             age = now - m.since
-            if m.state is not MemberState.dead and age > self._patience_s(m):
+            if m.state is not MemberState.dead and age > self._state_timeout_s(m):
                 self._put(m._replace(state=MemberState.dead))
-            elif m.state is MemberState.dead and age > self.FORGET_S:
+            elif m.state is MemberState.dead and age > self.FORGET_DEAD_AFTER_S:
                 del self.by_id[m.id]
 
-    def _patience_s(self, m: Member) -> float:
+    def _state_timeout_s(self, m: Member) -> float:
         match m.state:
             case MemberState.suspect:
                 return self.settings.peers.dead_s
@@ -205,16 +205,16 @@
                 return self.settings.stop_timeout_s
         return float("inf")
 
-    def take_row(self, row: MemberRow) -> bool:
+    def apply_row(self, row: MemberRow) -> bool:
         """Take in what a peer says of a member.
 
         :return: whether it was news.
         """
         if row.host == self.me.host:
-            return self._take_own(row.incarnation, row.version, row.state)
+            return self._apply_own(row.incarnation, row.version, row.state)
         known = self.by_id.get(f"{row.host}@{row.incarnation:x}")
         if known is not None:
-            return self.take_delta(
+            return self.apply_delta(
                 MemberDelta(row.incarnation, row.version, row.state, row.offset), known
             )
         latest = self.by_host(row.host)
@@ -240,13 +240,13 @@
             self._put(latest._replace(state=MemberState.dead))
         return True
 
-    def take_delta(self, delta: MemberDelta, known: Member | None = None) -> bool:
+    def apply_delta(self, delta: MemberDelta, known: Member | None = None) -> bool:
         """Take in a change of a known member.
 
         :return: whether it was news.
         """
         if delta.incarnation == self.me.incarnation:
-            return self._take_own(delta.incarnation, delta.version, delta.state)
+            return self._apply_own(delta.incarnation, delta.version, delta.state)
         known = known or self.by_incarnation(delta.incarnation)
         if known is None:
             return False
@@ -263,16 +263,16 @@
         """The member with an incarnation."""
         return next((m for m in self.by_id.values() if m.incarnation == incarnation), None)
 
-    def _take_own(self, incarnation: int, version: int, state: int) -> bool:
+    def _apply_own(self, incarnation: int, version: int, state: int) -> bool:
         if incarnation > self.me.incarnation:
             # The clock went back between two runs; peers would take this run for the older one.
-            self.renew(incarnation)
+            self.start_new_incarnation(incarnation)
             return True
         if incarnation < self.me.incarnation or version < self.me.version:
             return False
         if state == MemberState.dead:
             # Peers have let others take over what this run held. Only a new run may go on.
-            self.renew()
+            self.start_new_incarnation()
             return True
         if state == MemberState.suspect:
             self._put(self.me._replace(version=version + 1))
--- a/mustardgap/parts.py
+++ b/mustardgap/parts.py
@@ -72,7 +72,7 @@
 
     def open(self) -> None:
         """Start the timers that need a running event loop but no supervised child."""
-        self.timers.subscribe("gossip", self.settings.peers.gossip_s, self.gossiper.turn)
+        self.timers.subscribe("gossip", self.settings.peers.gossip_s, self.gossiper.run_round)
 
     def close(self) -> None:
         """Close the resources that the supervised children don't close."""
@@ -124,7 +124,7 @@
         )
 
     def _publish_offset(self) -> None:
-        self.members.say(offset=self.log.offset)
+        self.members.update_me(offset=self.log.offset)
 
     def _build_requests(self) -> None:
         clock = self.timers.clock
--- a/mustardgap/peer_calls.py
+++ b/mustardgap/peer_calls.py
@@ -25,19 +25,19 @@
 
 # A connection on which nothing came for so long while a call waited counts as silent: some 60 times
 # an owner's usual answer, and less than any call waits but one whose caller's time is nearly over.
-SILENT_S = 0.3
+SILENT_AFTER_S = 0.3
 
 # How long the calls under way keep a retired channel: the longest time of a call, and some.
-RETIRED_S = 2.0
+RETIRED_GRACE_S = 2.0
 # Codes that gRPC itself gives a call; any other came from the peer.
-NOT_HEARD = (
+LOCAL_STATUS_CODES = (
     grpc.StatusCode.DEADLINE_EXCEEDED,
     grpc.StatusCode.UNAVAILABLE,
     grpc.StatusCode.CANCELLED,
 )
 
 # How gRPC's text begins when a call was given to no connection.
-UNCONNECTED = "failed to connect to all addresses"
+NO_CONNECTION_PREFIX = "failed to connect to all addresses"
 
 Handler = Callable[[Any], Awaitable[Any]]
 
@@ -111,7 +111,7 @@
 
     def __init__(self, *, channel: grpc.aio.Channel) -> None:
         self.channel = channel
-        self.heard_at = float("-inf")
+        self.last_answer_at = float("-inf")
 
 
 class PeerClient:
@@ -136,15 +136,15 @@
         try:
             answer = await method(raw, timeout=timeout_s)
         except grpc.aio.AioRpcError as exc:
-            if exc.code() not in NOT_HEARD:
-                link.heard_at = asyncio.get_running_loop().time()
-            silent = timeout_s >= SILENT_S and link.heard_at < sent_at
+            if exc.code() not in LOCAL_STATUS_CODES:
+                link.last_answer_at = asyncio.get_running_loop().time()
+            silent = timeout_s >= SILENT_AFTER_S and link.last_answer_at < sent_at
             if silent and exc.code() is grpc.StatusCode.DEADLINE_EXCEEDED:
                 self._retire(address, link)
             # A call that finds no connection never leaves this host. Taken for one that may have
             # arrived, callers were told that nobody knows what became of their jobs, and couldn't
             # try again: 43 of 46 in the 2 s after a busy pool's owner had lost power.
-            unconnected = (exc.details() or "").startswith(UNCONNECTED)
+            unconnected = (exc.details() or "").startswith(NO_CONNECTION_PREFIX)
             raise PeerUnreachable(
                 sent=not unconnected, detail=f"{exc.code().name}: {exc.details()}"
             ) from None
@@ -154,7 +154,7 @@
             if cancellations.is_own():
                 raise
             raise PeerUnreachable(sent=True, detail="the connection was given up") from None
-        link.heard_at = asyncio.get_running_loop().time()
+        link.last_answer_at = asyncio.get_running_loop().time()
         return msgspec.msgpack.decode(answer)
 
     def _link(self, address: str) -> _Link:
@@ -174,6 +174,6 @@
         if self._links_by_address.get(address) is not link:
             return
         del self._links_by_address[address]
-        task = asyncio.ensure_future(link.channel.close(RETIRED_S))
+        task = asyncio.ensure_future(link.channel.close(RETIRED_GRACE_S))
         self._closing.add(task)
         task.add_done_callback(self._closing.discard)
--- a/mustardgap/peers.py
+++ b/mustardgap/peers.py
@@ -29,10 +29,10 @@
 from .timers import Timers
 
 METHOD = "Talk"
-REDIAL_S = 0.2
-MAX_REDIAL_S = 3.0
-DEFER_S = 0.5
-WATCH_S = 0.25
+MIN_REDIAL_DELAY_S = 0.2
+MAX_REDIAL_DELAY_S = 3.0
+DEFERRED_DIAL_DELAY_S = 0.5
+WATCH_INTERVAL_S = 0.25
 
 Handler = Callable[[Member, Any], Awaitable[AnyMessage | None] | AnyMessage | None]
 
@@ -77,13 +77,13 @@
         self.sent_frames = 0
         self._handlers: dict[type, Handler] = {}
         self._open_callbacks: list[Callable[[Member], None]] = []
-        self._answers: dict[int, tuple[str, asyncio.Future[AnyMessage]]] = {}
+        self._pending_answers: dict[int, tuple[str, asyncio.Future[AnyMessage]]] = {}
         self._last_request = 0
         self._tasks_by_id: dict[str, asyncio.Task[None]] = {}
         self._dials_by_address: dict[str, asyncio.Task[None]] = {}
         self._seeds: set[str] = set(settings.peers.seeds)
         self._background: set[asyncio.Future[Any]] = set()
-        timers.on_gap(self._gap)
+        timers.on_gap(self._on_gap)
 
     def handle(self, type_: type, handler: Handler) -> None:
         """Have messages of a type handled; what the handler returns answers a call.
@@ -118,7 +118,7 @@
         self._last_request += 1
         request = self._last_request
         future: asyncio.Future[AnyMessage] = asyncio.get_running_loop().create_future()
-        self._answers[request] = (member_id, future)
+        self._pending_answers[request] = (member_id, future)
         try:
             if not self._queue(member_id, Item(request, message)):
                 raise PeerError(detail="not a member, or its queue is full", place=member_id)
@@ -126,17 +126,17 @@
         except TimeoutError:
             raise PeerError(detail=f"no answer within {timeout_s} s", place=member_id) from None
         finally:
-            self._answers.pop(request, None)
+            self._pending_answers.pop(request, None)
         if isinstance(answer, Failed):
             raise PeerError(detail=answer.detail, place=member_id)
         return answer
 
-    def seed(self, addresses: set[str], *, listed: bool = False) -> None:
+    def set_seeds(self, addresses: set[str], *, with_configured: bool = False) -> None:
         """Give addresses at which there may be entry hosts.
 
         :param listed: they take the place of those listed before.
         """
-        self._seeds = {*self.settings.peers.seeds, *addresses} if listed else addresses
+        self._seeds = {*self.settings.peers.seeds, *addresses} if with_configured else addresses
 
     def connected(self) -> list[str]:
         """The ids of the members with an open stream."""
@@ -148,13 +148,15 @@
             self.listen, self.settings.peers, {METHOD: self._accept}
         )
         await server.start()
-        stop_beat = self.timers.subscribe("peers.beat", self._beat_s(), self._beat)
+        stop_heartbeat = self.timers.subscribe(
+            "peers.beat", self._heartbeat_interval_s(), self._heartbeat
+        )
         try:
             while True:
                 self._watch()
-                await asyncio.sleep(WATCH_S)
+                await asyncio.sleep(WATCH_INTERVAL_S)
         finally:
-            stop_beat()
+            stop_heartbeat()
             tasks = [*self._tasks_by_id.values(), *self._dials_by_address.values()]
             for task in tasks:
                 task.cancel()
@@ -169,66 +171,68 @@
         """Start a task for each peer that needs a stream and end those of members that are gone."""
         _drop_ended(self._tasks_by_id)
         _drop_ended(self._dials_by_address)
-        wanted = self._wanted()
-        for member_id in wanted - self._tasks_by_id.keys():
-            task = asyncio.create_task(self._keep(member_id), name=f"peer:{member_id}")
+        needed = self._needed_member_ids()
+        for member_id in needed - self._tasks_by_id.keys():
+            task = asyncio.create_task(self._keep_connected(member_id), name=f"peer:{member_id}")
             self._tasks_by_id[member_id] = task
-        for member_id in self._tasks_by_id.keys() - wanted:
+        for member_id in self._tasks_by_id.keys() - needed:
             self._tasks_by_id.pop(member_id).cancel()
         for member_id, link in list(self.links_by_id.items()):
             gone = member_id not in self.members.by_id
-            if gone or (member_id not in wanted and link.idle_for() > self.settings.peers.idle_s):
+            if gone or (member_id not in needed and link.idle_for() > self.settings.peers.idle_s):
                 link.close()
                 del self.links_by_id[member_id]
-        known = {m.peers_address for m in self.members.by_id.values() if not _dead(m)}
+        known = {m.peers_address for m in self.members.by_id.values() if not _is_dead(m)}
         for address in (
             self._seeds - known - {self.members.me.peers_address} - self._dials_by_address.keys()
         ):
             task = asyncio.create_task(self._probe(address), name=f"probe:{address}")
             self._dials_by_address[address] = task
 
-    def _wanted(self) -> set[str]:
+    def _needed_member_ids(self) -> set[str]:
         me = self.members.me.id
         alive = [m.id for m in self.members.peers()]
         ranked = [i for i in self.members.ranked(f"peers/{me}") if i != me]
-        wanted = set(ranked[: self.settings.peers.fanout])
+        needed = set(ranked[: self.settings.peers.fanout])
         for member_id in alive:
             link = self.links_by_id.get(member_id)
             if link is not None and (link.items or link.idle_for() < self.settings.peers.idle_s):
-                wanted.add(member_id)
+                needed.add(member_id)
             if self.members.by_id[member_id].state is MemberState.suspect:
-                wanted.add(member_id)
-        return wanted & set(alive)
+                needed.add(member_id)
+        return needed & set(alive)
 
-    async def _keep(self, member_id: str) -> None:
+    async def _keep_connected(self, member_id: str) -> None:
         """Keep a stream to a member open; the member with the lower id dials first."""
-        backoff = REDIAL_S
+        backoff = MIN_REDIAL_DELAY_S
         link = self._link(member_id)
-        while (m := self.members.by_id.get(member_id)) is not None and not _dead(m):
+        while (m := self.members.by_id.get(member_id)) is not None and not _is_dead(m):
             if link.stream is not None:
                 await link.stream.closed.wait()
-                backoff = REDIAL_S
+                backoff = MIN_REDIAL_DELAY_S
             if self.members.me.id > member_id:
-                await asyncio.sleep(DEFER_S)
+                await asyncio.sleep(DEFERRED_DIAL_DELAY_S)
                 if link.stream is not None:
                     continue
             if not await self._dial(m.peers_address, member_id) and link.stream is None:
-                link.fail()
-                if link.failed_for() > self.settings.peers.suspect_s:
+                link.record_failure()
+                if link.failing_for() > self.settings.peers.suspect_s:
                     self.members.suspect(member_id)
             await asyncio.sleep(backoff * random.uniform(0.5, 1.0))
-            backoff = min(backoff * 2, MAX_REDIAL_S)
+            backoff = min(backoff * 2, MAX_REDIAL_DELAY_S)
 
     async def _probe(self, address: str) -> None:
-        backoff = REDIAL_S
-        while address in self._seeds and not self._reached(address):
+        backoff = MIN_REDIAL_DELAY_S
+        while address in self._seeds and not self._is_member_address(address):
             await self._dial(address, "")
             await asyncio.sleep(backoff * random.uniform(0.5, 1.0))
-            backoff = min(backoff * 2, MAX_REDIAL_S)
+            backoff = min(backoff * 2, MAX_REDIAL_DELAY_S)
         self._dials_by_address.pop(address, None)
 
-    def _reached(self, address: str) -> bool:
-        return any(m.peers_address == address and not _dead(m) for m in self.members.by_id.values())
+    def _is_member_address(self, address: str) -> bool:
+        return any(
+            m.peers_address == address and not _is_dead(m) for m in self.members.by_id.values()
+        )
 
     async def _dial(self, address: str, member_id: str) -> bool:
         """Open a stream and talk on it until it ends.
@@ -254,7 +258,9 @@
             async with asyncio.timeout(self.settings.peers.connect_timeout_s):
                 await call.write(self._hello())
                 hello = _hello_of(await call.read())
-            return await self._talk(hello, Stream(call, dialer=self.members.me.id), member_id)
+            return await self._exchange_frames(
+                hello, Stream(call, dialer=self.members.me.id), member_id
+            )
         finally:
             await channel.close()
 
@@ -265,16 +271,16 @@
                 await context.write(self._hello())
         except (TimeoutError, msgspec.DecodeError):
             return
-        m_id = f"{hello.me.host}@{hello.me.incarnation:x}"
-        await self._talk(hello, Stream(context, dialer=m_id), "")
+        dialer_id = f"{hello.me.host}@{hello.me.incarnation:x}"
+        await self._exchange_frames(hello, Stream(context, dialer=dialer_id), "")
 
-    async def _talk(self, hello: Hello, stream: Stream, expected: str) -> bool:
+    async def _exchange_frames(self, hello: Hello, stream: Stream, expected: str) -> bool:
         member_id = f"{hello.me.host}@{hello.me.incarnation:x}"
-        self.members.take_row(hello.me)
+        self.members.apply_row(hello.me)
         if member_id not in self.members.by_id or member_id == self.members.me.id:
             return False
         link = self._link(member_id)
-        if not link.attach(stream, self._beat_s() * 1.5):
+        if not link.attach(stream, self._heartbeat_interval_s() * 1.5):
             return True
         for callback in self._open_callbacks:
             callback(self.members.by_id[member_id])
@@ -298,32 +304,32 @@
                 return
             self.received_bytes += len(data)
             frame = decode(data)
-            stream.heard()
-            self.members.heard(member_id)
+            stream.record_read()
+            self.members.record_contact(member_id)
             self.timeline.witness(frame.stamp)
             for item in frame.items:
-                self._take(member_id, item)
+                self._dispatch(member_id, item)
 
     async def _write(self, link: Link, stream: Stream) -> None:
         while True:
             await link.wake.wait()
             link.wake.clear()
-            data = encode(Frame(self.timeline.stamp, link.take()))
+            data = encode(Frame(self.timeline.stamp, link.next_items()))
             self.sent_bytes += len(data)
             self.sent_frames += 1
-            stream.wrote()
+            stream.record_write()
             await stream.call.write(data)
             if link.items:
                 link.wake.set()
 
-    def _take(self, member_id: str, item: Item) -> None:
+    def _dispatch(self, member_id: str, item: Item) -> None:
         m = self.members.by_id.get(member_id)
-        if m is None or (_dead(m) and not isinstance(item.body, Gossip)):
+        if m is None or (_is_dead(m) and not isinstance(item.body, Gossip)):
             # A member that was declared dead may have woken; it has to find that out first.
             return
         if item.request < 0:
-            asked, future = self._answers.get(-item.request, ("", None))
-            if future is not None and asked == member_id and not future.done():
+            called_id, future = self._pending_answers.get(-item.request, ("", None))
+            if future is not None and called_id == member_id and not future.done():
                 future.set_result(item.body)
             return
         handler = self._handlers.get(type(item.body))
@@ -337,11 +343,11 @@
             # but comes from a result that the handler has read, and would end the stream.
             result = _failed(type(item.body).__name__, exc)
         if inspect.isawaitable(result):
-            self._spawn(self._finish(member_id, item.request, result))
+            self._spawn(self._answer_when_done(member_id, item.request, result))
         else:
             self._answer(member_id, item.request, result)
 
-    async def _finish(self, member_id: str, request: int, result: Awaitable[Any]) -> None:
+    async def _answer_when_done(self, member_id: str, request: int, result: Awaitable[Any]) -> None:
         try:
             answer = await result
         except (Exception, asyncio.CancelledError) as exc:
@@ -373,10 +379,10 @@
     def _hello(self) -> bytes:
         return encode(Frame(self.timeline.stamp, [Item(0, Hello(row_of(self.members.me)))]))
 
-    def _beat_s(self) -> float:
+    def _heartbeat_interval_s(self) -> float:
         return min(self.settings.peers.heartbeat_s, self.settings.peers.suspect_s / 2)
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         """Close silent streams; send an empty frame on those with nothing else to say.
 
         A stream whose path was lost stays open for good and swallows what is sent. The peer's
@@ -390,10 +396,10 @@
                 logging.info("stream to %s is silent", link.member_id)
                 link.close()
                 self.members.suspect(link.member_id)
-            elif stream.unwritten_for() > self._beat_s() * 0.9:
+            elif stream.unwritten_for() > self._heartbeat_interval_s() * 0.9:
                 link.wake.set()
 
-    def _gap(self, lost_s: float) -> None:
+    def _on_gap(self, lost_s: float) -> None:
         """Close all streams after a pause: what they brought may be out of date."""
         for link in self.links_by_id.values():
             link.close()
@@ -417,7 +423,7 @@
             logging.error("%s failed", task.get_name(), exc_info=exc)
 
 
-def _dead(m: Member) -> bool:
+def _is_dead(m: Member) -> bool:
     return m.state is MemberState.dead
 
 
--- a/mustardgap/presence.py
+++ b/mustardgap/presence.py
@@ -75,7 +75,9 @@
         entries = [e for e in page.hosts if e["role"] == "entry" and e["state"] == "live"]
         self._update_listed_hosts(frozenset(e["host"] for e in entries))
         own = self.members.me.peers_address
-        self.peers.seed({e["address"] for e in entries if e["address"] != own}, listed=True)
+        self.peers.set_seeds(
+            {e["address"] for e in entries if e["address"] != own}, with_configured=True
+        )
         workers = {
             e["host"] for e in page.hosts if (e["role"], e["state"]) == ("worker", "leaving")
         }
@@ -101,7 +103,7 @@
 
     async def leave(self) -> None:
         """Tell peers and platform that this daemon accepts no more work."""
-        self.members.say(state=MemberState.leaving)
+        self.members.update_me(state=MemberState.leaving)
         try:
             await self.announce()
         except MustardgapError as exc:
--- a/tools/bench_gossip.py
+++ b/tools/bench_gossip.py
@@ -64,7 +64,7 @@
         )
         self.gossiper = Gossiper(peers=self.peers)
         self.task = asyncio.create_task(self.peers.run())
-        self.timers.subscribe("gossip", settings.peers.gossip_s, self.gossiper.turn)
+        self.timers.subscribe("gossip", settings.peers.gossip_s, self.gossiper.run_round)
 
     async def stop(self) -> None:
         """End the streams."""
@@ -95,7 +95,7 @@
         frames = sum(n.peers.sent_frames for n in nodes)
         for offset in range(max(1, round(seconds / CHANGE_EVERY_S))):
             for node in nodes:
-                node.members.say(offset=offset)
+                node.members.update_me(offset=offset)
             await asyncio.sleep(min(seconds, CHANGE_EVERY_S))
         elapsed = max(1, round(seconds / CHANGE_EVERY_S)) * min(seconds, CHANGE_EVERY_S)
         sent = sum(n.peers.sent_bytes for n in nodes) - sent
--- a/tools/fake_fleet.py
+++ b/tools/fake_fleet.py
@@ -134,7 +134,7 @@
             return
         m = self.members.by_id.get(sender)
         if m is not None and m.state is not MemberState.dead:
-            self.members.heard(sender)
+            self.members.record_contact(sender)
             self._handlers[type(message)](m, message)
 
 
@@ -332,6 +332,6 @@
     off would count it towards the majority in reach.
     """
     m = other.members.me
-    entry.members.take_row(row_of(m))
+    entry.members.apply_row(row_of(m))
     entry.members._put(m._replace(state=MemberState.live))
     entry.members.listed_hosts |= {m.host}
--- a/tools/fake_logs.py
+++ b/tools/fake_logs.py
@@ -109,7 +109,7 @@
 
     def act(self) -> None:
         """Write the records that are due."""
-        self.members.check()
+        self.members.expire_members()
         host = self.members.me.host
         if not self.log.reaches(host) or not self.may_use(self.known_at):
             return
@@ -118,7 +118,7 @@
         ended = entry is not None and entry["incarnation"] == me.incarnation
         if entry is not None and ended and entry["state"] == "gone":
             # The others have taken this run's share over; only a new run may go on.
-            self.members.renew()
+            self.members.start_new_incarnation()
         for body in self.entries.due():
             self.log.append(body, writer=self.members.me.id)
         self.read()
