--- a/mustardgap/channels.py
+++ b/mustardgap/channels.py
@@ -1,4 +1,4 @@
-"""gRPC channels and servers between entry hosts, with TLS where it is set."""
+"""gRPC channels and servers between entry hosts, with TLS if configured."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -18,14 +18,14 @@
 async def make_server(
     address: str, settings: PeersSettings, methods: dict[str, Callable[..., Any]]
 ) -> grpc.aio.Server:
-    """Make a server that listens on an address; its streams carry bytes.
+    """Create a server that listens on an address; its streams carry bytes.
 
     :param address: ``ip:port`` to listen on.
-    :param settings: the settings of peers.
-    :param methods: the handlers of bidirectional streams by the method's name.
-    :raises MustardgapError: MG2003 when the address is in use, MG2006 for bad keys.
+    :param settings: the peer settings.
+    :param methods: the handlers of bidirectional streams by method name.
+    :raises MustardgapError: MG2003 if the address is in use, MG2006 if the keys are invalid.
     """
-    # First, as a server that has been made must be started and stopped again.
+    # Done first: a server, once created, must be started and stopped even after a failure.
     credentials = _server_credentials(settings.tls) if settings.tls is not None else None
     server = grpc.aio.server(options=_options(settings))
     handlers = {
@@ -38,8 +38,8 @@
         else:
             server.add_secure_port(address, credentials)
     except RuntimeError:
-        # A server that was never started can't be stopped, and one that isn't breaks the
-        # interpreter's own shutdown.
+        # A server that was never started can't be stopped, and one that isn't stopped breaks the
+        # interpreter's shutdown.
         await server.start()
         await server.stop(None)
         place = f"{address} (peers.port)"
@@ -51,7 +51,7 @@
     """Open a channel with a connection of its own.
 
     :param address: ``ip:port`` of the peer.
-    :param settings: the settings of peers.
+    :param settings: the peer settings.
     """
     options = _options(settings)
     if settings.tls is None:
@@ -71,8 +71,8 @@
         ("grpc.http2.max_ping_strikes", 0),
         ("grpc.max_receive_message_length", MAX_FRAME_BYTES),
         ("grpc.max_send_message_length", MAX_FRAME_BYTES),
-        # Channels to one address otherwise share a connection, and a stream that is opened anew
-        # because the old one went silent would be opened on the same dead connection.
+        # Otherwise channels to one address share a connection, and a stream that replaces a silent
+        # one would be opened on the same dead connection.
         ("grpc.use_local_subchannel_pool", 1),
         ("grpc.so_reuseport", 0),
         ("grpc.enable_http_proxy", 0),
@@ -80,7 +80,7 @@
 
 
 def _server_credentials(tls: TlsSettings) -> grpc.ServerCredentials:
-    """Credentials that follow the files; grpc asks for them anew with each connection."""
+    """Return credentials that follow the files; gRPC fetches them for each connection."""
     certificates = Certificates(settings=tls)
 
     def fetch_changed() -> grpc.ServerCertificateConfiguration | None:
@@ -102,7 +102,7 @@
 
 
 def _read_credentials(tls: TlsSettings) -> tuple[bytes, bytes, bytes]:
-    """Read authority, key and certificate; each new stream so takes renewed files."""
+    """Read authority, key and certificate; each new channel thus uses renewed files."""
     try:
         authority, key, certificate = (
             Path(path).read_bytes() for path in (tls.authority, tls.key, tls.certificate)
--- a/mustardgap/gossip.py
+++ b/mustardgap/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip among entry hosts: who is there, how far each has read the log, and notices."""
+"""Gossip among entry hosts: members, their offsets in the log, and notices."""
 
 import random
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Notice(NamedTuple):
-    """The latest word on a key; ``until`` is monotonic."""
+    """The latest value of a key; it expires at ``until``, a monotonic time."""
 
     stamp: int
     until: float
@@ -23,9 +23,9 @@
 
 
 class Gossiper:
-    """Tells a few peers at a time what changed since they were last told.
+    """Sends a few peers at a time what changed since their last update.
 
-    What is gossiped may be lost at any moment: nothing that must hold rests on it.
+    Gossip may be lost at any time: no guarantee depends on it.
 
     :param peers: the streams to the peers.
     """
@@ -42,19 +42,19 @@
         self.members.on_change(self._on_change)
 
     def on_notice(self, kind: str, callback: NoticeCallback) -> None:
-        """Call back with key, value and the peer that passed it on, when a notice is new."""
+        """Register a callback for new received notices; it gets key, value and relaying peer."""
         self._callbacks_by_kind.setdefault(kind, []).append(callback)
 
     def publish(
         self, kind: str, key: str, value: Any, *, ttl_s: float, urgent: bool = False
     ) -> None:
-        """Tell all entry hosts of something short-lived.
+        """Publish a short-lived notice to all entry hosts.
 
         :param kind: what the notice is about, such as ``leaving``.
-        :param key: what it concerns; a later notice of the same kind and key takes its place.
-        :param value: anything msgpack carries.
-        :param ttl_s: seconds after which it is forgotten.
-        :param urgent: tell all connected peers now and not at the next turn.
+        :param key: what it concerns; a later notice of the same kind and key replaces it.
+        :param value: a value that msgpack can encode.
+        :param ttl_s: seconds after which it expires.
+        :param urgent: send it to all connected peers now, not in the next round.
         """
         stamp = int(self.timers.clock.wall() * 1000)
         old = self.notices_by_key.get((kind, key))
@@ -66,14 +66,14 @@
             self._send_updates(self.peers.connected())
 
     def notice(self, kind: str, key: str) -> Any:
-        """The value of a notice that hasn't lapsed, or None."""
+        """Return the value of a notice that hasn't expired, or None."""
         found = self.notices_by_key.get((kind, key))
         if found is None or found.until < self.timers.clock.monotonic():
             return None
         return found.value
 
     def run_round(self) -> None:
-        """Tell a few connected peers what is new to them; called every ``peers.gossip_s``."""
+        """Send a few connected peers what is new to them; called every ``peers.gossip_s``."""
         self.members.expire_members()
         self._expire()
         connected = self.peers.connected()
@@ -149,6 +149,6 @@
         self._send_updates([member.id])
 
     def _on_change(self, member: Member, old: Member | None) -> None:
-        """Pass on at once that a member leaves or denies a suspicion."""
+        """Send updates at once when a member leaves or this daemon's state changes."""
         if member.id == self.members.me.id or member.state is MemberState.leaving:
             self._send_updates(self.peers.connected())
--- a/mustardgap/links.py
+++ b/mustardgap/links.py
@@ -1,4 +1,4 @@
-"""What is queued for one peer, and the stream it goes out on."""
+"""The queue of messages to one peer, and the stream that carries them."""
 
 import asyncio
 from collections import deque
@@ -19,11 +19,11 @@
         """Queue a message to a member."""
 
     def handle(self, type_: type, handler: Callable[[Member, Any], Any]) -> None:
-        """Have messages of a type handled."""
+        """Register the handler for messages of a type."""
 
 
 class Stream:
-    """One open gRPC stream, from either end.
+    """One open gRPC stream, opened by either end.
 
     :param call: the gRPC call or context to read from and write to.
     :param dialer: the id of the member that opened it.
@@ -37,24 +37,24 @@
         self.last_read = self.last_write = self.clock.monotonic()
 
     def record_read(self) -> None:
-        """Note that something was read."""
+        """Record the time of a read."""
         self.last_read = self.clock.monotonic()
 
     def record_write(self) -> None:
-        """Note that something was written."""
+        """Record the time of a write."""
         self.last_write = self.clock.monotonic()
 
     def silent_for(self) -> float:
-        """Seconds since something was read."""
+        """Return the seconds since the last read."""
         return self.clock.monotonic() - self.last_read
 
     def unwritten_for(self) -> float:
-        """Seconds since something was written."""
+        """Return the seconds since the last write."""
         return self.clock.monotonic() - self.last_write
 
 
 class Link:
-    """The queue of messages to one member; it outlives streams.
+    """The queue of messages to one member, which outlives streams.
 
     :param member_id: the member at the other end.
     :param clock: the clocks to read.
@@ -74,7 +74,7 @@
     def put(self, item: Item, max_queued: int) -> bool:
         """Queue a message.
 
-        :return: False when the queue is full.
+        :return: False if the queue is full.
         """
         self._queued_at = self.clock.monotonic()
         if len(self.items) >= max_queued:
@@ -85,16 +85,16 @@
         return True
 
     def next_items(self) -> list[Item]:
-        """Take what goes into the next frame."""
+        """Remove and return the messages for the next frame."""
         count = min(len(self.items), MAX_ITEMS_PER_FRAME)
         return [self.items.popleft() for _ in range(count)]
 
     def attach(self, stream: Stream, silent_s: float) -> bool:
-        """Put a stream to use, in place of the one before it.
+        """Use a stream, in place of the current one.
 
         When both ends dial at once, both keep the stream of the lower id, unless it is silent.
 
-        :return: False when the present stream is kept.
+        :return: False if the current stream is kept.
         """
         old = self.stream
         if old is not None:
@@ -108,27 +108,27 @@
         return True
 
     def detach(self, stream: Stream) -> None:
-        """Note that a stream has ended."""
+        """Mark a stream as closed and stop using it."""
         stream.closed.set()
         if self.stream is stream:
             self.stream = None
 
     def close(self) -> None:
-        """Close the present stream."""
+        """Close the current stream."""
         if self.stream is not None:
             self.detach(self.stream)
 
     def record_failure(self) -> None:
-        """Note that no stream could be opened."""
+        """Record that no stream could be opened."""
         if self._failing_since is None:
             self._failing_since = self.clock.monotonic()
 
     def failing_for(self) -> float:
-        """Seconds since the first of the present failures."""
+        """Return the seconds since the first failure after the last open stream."""
         if self._failing_since is None:
             return 0.0
         return self.clock.monotonic() - self._failing_since
 
     def idle_for(self) -> float:
-        """Seconds since something was queued."""
+        """Return the seconds since a message was last queued."""
         return self.clock.monotonic() - self._queued_at
--- a/mustardgap/members.py
+++ b/mustardgap/members.py
@@ -1,4 +1,4 @@
-"""The entry hosts that are there: who they are, in which state, and who owns a key."""
+"""The known entry hosts, their states, and the owner of a key."""
 
 import random
 import time
@@ -15,7 +15,7 @@
 
 
 class MemberState(IntEnum):
-    """The states of a member; of two words of the same version the higher one stands."""
+    """The states of a member; of two reports with the same version, the higher state wins."""
 
     live = 0
     suspect = 1
@@ -26,8 +26,8 @@
 class Member(NamedTuple):
     """One run of one entry host; a replaced host has a higher incarnation.
 
-    ``version`` counts the member's own words about itself. ``seen`` is the monotonic time at which
-    this daemon last had word from it directly.
+    ``version`` counts the member's own reports of its state. ``seen`` is the monotonic time at
+    which this daemon last received a message from it directly.
     """
 
     host: str
@@ -44,21 +44,21 @@
 
     @property
     def id(self) -> str:
-        """Host and incarnation, which together name one run of a daemon."""
+        """Host and incarnation, which together identify one run of a daemon."""
         return f"{self.host}@{self.incarnation:x}"
 
 
 def new_incarnation(after: int = 0) -> int:
-    """A number above those of earlier runs of this host: start time and random bits.
+    """Return a number above those of earlier runs of this host: start time and random bits.
 
-    :param after: an incarnation that must be exceeded, for a host whose clock went back.
+    :param after: an incarnation to exceed, for a host whose clock was set back.
     """
     start = (time.time_ns() // 1_000_000) << 21 | random.getrandbits(21)
     return max(start, after + 1 + random.getrandbits(21))
 
 
 def me_from(settings: Settings) -> Member:
-    """This daemon as a member, from its settings."""
+    """Return this daemon as a member, from its settings."""
     address = f"[{settings.address}]" if ":" in settings.address else settings.address
     return Member(
         host=settings.host,
@@ -75,8 +75,8 @@
 class Members:
     """All members this daemon knows of, by id.
 
-    A member is suspected first and declared dead only when it hasn't denied that for
-    ``peers.dead_s``; death is final for an incarnation.
+    A member is first suspected, and declared dead only if it doesn't deny that within
+    ``peers.dead_s``; an incarnation stays dead.
 
     :param me: this daemon.
     :param settings: the daemon's settings.
@@ -95,21 +95,21 @@
         self._ranks_by_key: dict[str, list[str]] = {}
 
     def on_change(self, callback: Callback) -> None:
-        """Call back with a member as it is and as it was when its state changes or it is new."""
+        """Register a callback for new members and changed states; it gets new and old value."""
         self._callbacks.append(callback)
 
     def live(self) -> list[Member]:
-        """The members that may own keys, this daemon among them unless it leaves."""
+        """Return the members that may own keys, with this daemon unless it is leaving."""
         return [m for m in self.by_id.values() if m.state is MemberState.live]
 
     def peers(self) -> list[Member]:
-        """The other members that aren't dead."""
+        """Return the other members that aren't dead."""
         return [
             m for m in self.by_id.values() if m.state is not MemberState.dead and m.id != self.me.id
         ]
 
     def ranked(self, key: str) -> list[str]:
-        """The live members' ids by rendezvous hashing of a key, the owner first."""
+        """Return the live members' ids by rendezvous hashing of a key, the owner first."""
         ranks = self._ranks_by_key.get(key)
         if ranks is None:
             if len(self._ranks_by_key) > 10_000:
@@ -119,22 +119,22 @@
         return ranks
 
     def owner(self, key: str) -> str:
-        """The id of the live member that owns a key; this daemon's own when there is none."""
+        """Return the id of the live member that owns a key, or this daemon's if none is live."""
         ranks = self.ranked(key)
         return ranks[0] if ranks else self.me.id
 
     def by_host(self, host: str) -> Member | None:
-        """The latest incarnation of a host."""
+        """Return the latest incarnation of a host."""
         found = [m for m in self.by_id.values() if m.host == host]
         return max(found, key=lambda m: m.incarnation, default=None)
 
     def electorate(self) -> set[str]:
-        """The hosts of which a majority must follow a home before it lends slots.
+        """Return the hosts of which a majority must follow a lender before it lends slots.
 
-        These are the hosts known alive and those that the platform still lists. A member doesn't
-        drop out because it can't be reached: two halves of a parted network would otherwise each
-        count themselves as all there is, and lend the same slots twice. A member that hasn't seen
-        the list yet (``listed_hosts`` is empty) can't tell how many make a majority.
+        These are the live or suspected hosts and those that the platform still lists. An
+        unreachable member stays in: otherwise each half of a partitioned network would count only
+        itself, and both would lend the same slots. A member that hasn't read the list yet
+        (``listed_hosts`` is empty) can't tell how many make a majority.
         """
         hosts = {self.me.host, *self.listed_hosts}
         for m in self.by_id.values():
@@ -152,7 +152,7 @@
         offset: int | None = None,
         state: MemberState | None = None,
     ) -> None:
-        """Change what this daemon says of itself."""
+        """Change what this daemon reports of itself."""
         me = self.me
         if offset is not None and offset != me.offset:
             me = me._replace(offset=offset)
@@ -161,7 +161,7 @@
         self._put(me)
 
     def start_new_incarnation(self, after: int = 0) -> None:
-        """Go on under a new incarnation; what was held under the old one is void."""
+        """Continue under a new incarnation; all that was held under the old one is void."""
         old = self.me
         incarnation = self.next_incarnation(max(after, old.incarnation))
         self.by_id.pop(old.id, None)
@@ -170,23 +170,23 @@
         self._changed(old._replace(state=MemberState.dead), old)
 
     def next_incarnation(self, after: int) -> int:
-        """A number above that of any run of this host."""
+        """Return a number above that of any run of this host."""
         return new_incarnation(after)
 
     def record_contact(self, member_id: str) -> None:
-        """Note that a member was heard of directly; that ends a suspicion of this daemon's."""
+        """Record the time at which a message from a member was received directly."""
         m = self.by_id.get(member_id)
         if m is not None:
             self.by_id[member_id] = m._replace(seen=self.timers.clock.monotonic())
 
     def suspect(self, member_id: str) -> None:
-        """Note that a member can't be reached."""
+        """Mark a live member as suspect, as it can't be reached."""
         m = self.by_id.get(member_id)
         if m is not None and m.state is MemberState.live and m.id != self.me.id:
             self._put(m._replace(state=MemberState.suspect))
 
     def expire_members(self) -> None:
-        """Declare dead what was suspected, or has been leaving, for too long; forget the dead."""
+        """Declare members dead that were suspect or leaving for too long; remove old dead ones."""
         now = self.timers.clock.monotonic()
         for m in list(self.by_id.values()):
             if m.id == self.me.id:
@@ -206,9 +206,9 @@
         return float("inf")
 
     def apply_row(self, row: MemberRow) -> bool:
-        """Take in what a peer says of a member.
+        """Apply a peer's report of a member.
 
-        :return: whether it was news.
+        :return: whether it changed anything.
         """
         if row.host == self.me.host:
             return self._apply_own(row.incarnation, row.version, row.state)
@@ -236,14 +236,14 @@
             )
         )
         if latest is not None and latest.state is not MemberState.dead:
-            # Two runs of a host never overlap for long: the newer one means that the older ended.
+            # Two runs of a host never overlap for long: a newer one means that the older has ended.
             self._put(latest._replace(state=MemberState.dead))
         return True
 
     def apply_delta(self, delta: MemberDelta, known: Member | None = None) -> bool:
-        """Take in a change of a known member.
+        """Apply a change of a known member.
 
-        :return: whether it was news.
+        :return: whether it changed anything.
         """
         if delta.incarnation == self.me.incarnation:
             return self._apply_own(delta.incarnation, delta.version, delta.state)
@@ -260,18 +260,18 @@
         return True
 
     def by_incarnation(self, incarnation: int) -> Member | None:
-        """The member with an incarnation."""
+        """Return the member with an incarnation."""
         return next((m for m in self.by_id.values() if m.incarnation == incarnation), None)
 
     def _apply_own(self, incarnation: int, version: int, state: int) -> bool:
         if incarnation > self.me.incarnation:
-            # The clock went back between two runs; peers would take this run for the older one.
+            # The clock was set back between two runs; peers would consider this run the older.
             self.start_new_incarnation(incarnation)
             return True
         if incarnation < self.me.incarnation or version < self.me.version:
             return False
         if state == MemberState.dead:
-            # Peers have let others take over what this run held. Only a new run may go on.
+            # Others have taken over what this run held. Only a new run may continue.
             self.start_new_incarnation()
             return True
         if state == MemberState.suspect:
@@ -296,7 +296,7 @@
 
 
 def row_of(m: Member) -> MemberRow:
-    """A member as gossip carries it."""
+    """Return the row that gossip carries for a member."""
     return MemberRow(
         m.host,
         m.incarnation,
--- a/mustardgap/peer_calls.py
+++ b/mustardgap/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls between daemons: one gRPC method that carries a named call with msgpack values."""
+"""Calls between daemons: one gRPC method that carries a call's name and its msgpack values."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,29 +23,29 @@
     ("grpc.max_receive_message_length", 16 * 1024 * 1024),
 ]
 
-# A connection on which nothing came for so long while a call waited counts as silent: some 60 times
-# an owner's usual answer, and less than any call waits but one whose caller's time is nearly over.
+# A connection counts as silent if no answer arrived on it while a call waited for so long. It is
+# about 60 times an owner's usual reply time, and below all timeouts but those cut by a caller's.
 SILENT_AFTER_S = 0.3
 
-# How long the calls under way keep a retired channel: the longest time of a call, and some.
+# How long calls in flight keep a retired channel open: longer than the longest call timeout.
 RETIRED_GRACE_S = 2.0
-# Codes that gRPC itself gives a call; any other came from the peer.
+# Status codes that gRPC itself sets on a call; any other code came from the peer.
 LOCAL_STATUS_CODES = (
     grpc.StatusCode.DEADLINE_EXCEEDED,
     grpc.StatusCode.UNAVAILABLE,
     grpc.StatusCode.CANCELLED,
 )
 
-# How gRPC's text begins when a call was given to no connection.
+# How gRPC's error text begins if a call was assigned no connection.
 NO_CONNECTION_PREFIX = "failed to connect to all addresses"
 
 Handler = Callable[[Any], Awaitable[Any]]
 
 
 class PeerUnreachable(Exception):
-    """No answer came; ``sent`` tells whether the call may have reached the peer.
+    """A call got no answer; ``sent`` tells whether it may have reached the peer.
 
-    :param sent: False when it certainly did not.
+    :param sent: False if the call certainly didn't reach the peer.
     """
 
     def __init__(self, *, sent: bool, detail: str) -> None:
@@ -54,7 +54,7 @@
 
 
 class PeerServer:
-    """Answers calls of other daemons.
+    """Answers calls from other daemons.
 
     :param events: the process's event log.
     """
@@ -65,7 +65,7 @@
         self._server: grpc.aio.Server | None = None
 
     def handle(self, name: str, handler: Handler) -> None:
-        """Answer calls of a name with a handler."""
+        """Register the handler for calls of a name."""
         self._handlers_by_name[name] = handler
 
     async def start(self, address: str) -> None:
@@ -80,10 +80,10 @@
         self._server = server
 
     async def stop(self) -> None:
-        """End at once."""
+        """Stop the server; calls in flight are cancelled after 0.1 s."""
         server, self._server = self._server, None
         if server is not None:
-            # Once only: two stops of gRPC's server at a time have ended the process.
+            # Only once: concurrent stops of a gRPC server have crashed the process.
             await server.stop(0.1)
 
     async def _answer(self, raw: bytes, context: grpc.aio.ServicerContext) -> bytes:
@@ -96,18 +96,18 @@
             return msgspec.msgpack.encode(await handler(values))
         except (Exception, asyncio.CancelledError) as exc:
             if isinstance(exc, asyncio.CancelledError) and cancellations.is_own():
-                # The caller has given the call up, or this daemon ends.
+                # The caller has cancelled the call, or this daemon is stopping.
                 raise
             how = unanswered.ending_of(exc).value
             self._events.note("call.unanswered", vital=True, call=name, how=how, why=repr(exc))
-        # A cancelled handler would leave the call silent until its time is over, and its caller
-        # would take this daemon for one that is gone.
+        # Without this, the call of a cancelled handler would get no answer until it times out, and
+        # its caller would consider this daemon unreachable.
         await context.abort(grpc.StatusCode.INTERNAL, f"the handler of {name} gave no answer")
         raise AssertionError
 
 
 class _Link:
-    """The channel to one peer, and when an answer last came on it."""
+    """The channel to one peer, and the time of the last answer on it."""
 
     def __init__(self, *, channel: grpc.aio.Channel) -> None:
         self.channel = channel
@@ -115,7 +115,7 @@
 
 
 class PeerClient:
-    """Calls other daemons over one channel each."""
+    """Calls other daemons, over one channel for each."""
 
     def __init__(self) -> None:
         self._links_by_address: dict[str, _Link] = {}
@@ -126,8 +126,8 @@
 
         :param address: its ``ip:port``.
         :param name: the call's name.
-        :param values: plain values.
-        :raises PeerUnreachable: no answer came.
+        :param values: values that msgpack can encode.
+        :raises PeerUnreachable: if the call got no answer.
         """
         link = self._link(address)
         method = link.channel.unary_unary(f"/{SERVICE}/{METHOD}")
@@ -141,16 +141,16 @@
             silent = timeout_s >= SILENT_AFTER_S and link.last_answer_at < sent_at
             if silent and exc.code() is grpc.StatusCode.DEADLINE_EXCEEDED:
                 self._retire(address, link)
-            # A call that finds no connection never leaves this host. Taken for one that may have
-            # arrived, callers were told that nobody knows what became of their jobs, and couldn't
-            # try again: 43 of 46 in the 2 s after a busy pool's owner had lost power.
+            # A call that finds no connection never leaves this host. When it counted as possibly
+            # received, callers were told that their jobs' outcome is unknown, and couldn't retry:
+            # 43 of 46 in the 2 s after the owner of a busy pool had lost power.
             unconnected = (exc.details() or "").startswith(NO_CONNECTION_PREFIX)
             raise PeerUnreachable(
                 sent=not unconnected, detail=f"{exc.code().name}: {exc.details()}"
             ) from None
         except asyncio.CancelledError:
-            # The channel was closed under the call. That isn't the end of this task: whoever waits
-            # for it may put the call again.
+            # The channel was closed during the call. This task itself wasn't cancelled, and its
+            # caller may retry the call.
             if cancellations.is_own():
                 raise
             raise PeerUnreachable(sent=True, detail="the connection was given up") from None
@@ -165,11 +165,11 @@
         return link
 
     def _retire(self, address: str, link: _Link) -> None:
-        """Have later calls use a new channel, as nothing came on this one while a call waited.
+        """Have later calls use a new channel, as no answer arrived on this one while a call waited.
 
-        The connection may have gone silent while a new one would work, or the peer may be slow.
-        Closed at once, the channel would cancel the calls that are under way on it, such as jobs
-        whose answers are due. So these keep it for as long as any call may wait.
+        Either the connection is silent and a new one would work, or the peer is slow. Closing the
+        channel at once would cancel the calls in flight on it, such as jobs that are about to be
+        answered, so it stays open for longer than any call may wait.
         """
         if self._links_by_address.get(address) is not link:
             return
--- a/mustardgap/peers.py
+++ b/mustardgap/peers.py
@@ -1,4 +1,4 @@
-"""The streams between entry hosts: one gRPC stream a pair, reopened when it breaks."""
+"""gRPC streams between entry hosts: one for each pair, reopened when it breaks."""
 
 import asyncio
 import inspect
@@ -38,7 +38,7 @@
 
 
 class PeerError(MustardgapError):
-    """A peer can't be reached, or didn't answer in time."""
+    """A peer can't be reached, reported a failure or didn't answer in time."""
 
     def __init__(self, **kwargs: str) -> None:
         super().__init__(code=status_codes.PEER_UNAVAILABLE, **kwargs)
@@ -47,14 +47,14 @@
 class Peers:
     """Carries messages between this daemon and the other entry hosts.
 
-    Streams to ``peers.fanout`` neighbours are kept open; one to any other member is opened when
-    there is something to say and closed when it was idle for ``peers.idle_s``.
+    Streams to ``peers.fanout`` members are kept open; a stream to another member is opened when a
+    message is queued for it, and closed when it has been idle for ``peers.idle_s``.
 
     :param members: the members.
     :param settings: the daemon's settings.
     :param timers: the timer service.
-    :param timeline: takes the peers' stamps.
-    :param listen: where to listen, when peers reach this daemon by another address.
+    :param timeline: the timeline that observes the peers' stamps.
+    :param listen: the address to listen on, if peers connect to another one.
     """
 
     def __init__(
@@ -86,21 +86,21 @@
         timers.on_gap(self._on_gap)
 
     def handle(self, type_: type, handler: Handler) -> None:
-        """Have messages of a type handled; what the handler returns answers a call.
+        """Register the handler for messages of a type; its result is the answer to a call.
 
-        A plain function runs at once and so keeps the order of messages; a coroutine function
-        gets a task of its own.
+        A plain function runs at once, so messages stay in order; a coroutine function runs in a
+        task of its own.
         """
         self._handlers[type_] = handler
 
     def on_open(self, callback: Callable[[Member], None]) -> None:
-        """Call back when a stream to a member has opened."""
+        """Register a callback for each opened stream to a member."""
         self._open_callbacks.append(callback)
 
     def send(self, member_id: str, message: AnyMessage) -> bool:
         """Queue a message to a member.
 
-        :return: False when it was dropped, because the queue is full or the member isn't known.
+        :return: False if it was dropped because the queue is full or the member is unknown.
         """
         return self._queue(member_id, Item(0, message))
 
@@ -113,7 +113,7 @@
         """Send a message and wait for its answer.
 
         :param timeout_s: seconds to wait.
-        :raises PeerError: MG5005; the peer may have acted on the message.
+        :raises PeerError: MG5005; the peer may have processed the message.
         """
         self._last_request += 1
         request = self._last_request
@@ -132,18 +132,18 @@
         return answer
 
     def set_seeds(self, addresses: set[str], *, with_configured: bool = False) -> None:
-        """Give addresses at which there may be entry hosts.
+        """Replace the addresses to probe for entry hosts.
 
-        :param listed: they take the place of those listed before.
+        :param with_configured: whether to probe the seeds of the settings as well.
         """
         self._seeds = {*self.settings.peers.seeds, *addresses} if with_configured else addresses
 
     def connected(self) -> list[str]:
-        """The ids of the members with an open stream."""
+        """Return the ids of the members with an open stream."""
         return [i for i, link in self.links_by_id.items() if link.stream is not None]
 
     async def run(self) -> None:
-        """Listen, and keep the streams open, until cancelled."""
+        """Listen and keep the streams open until cancelled."""
         server = await channels.make_server(
             self.listen, self.settings.peers, {METHOD: self._accept}
         )
@@ -168,7 +168,7 @@
             await server.stop(0.2)
 
     def _watch(self) -> None:
-        """Start a task for each peer that needs a stream and end those of members that are gone."""
+        """Start a task for each peer that needs a stream, and end the tasks of the others."""
         _drop_ended(self._tasks_by_id)
         _drop_ended(self._dials_by_address)
         needed = self._needed_member_ids()
@@ -235,20 +235,20 @@
         )
 
     async def _dial(self, address: str, member_id: str) -> bool:
-        """Open a stream and talk on it until it ends.
+        """Open a stream and exchange frames on it until it ends.
 
         :return: whether it was opened.
         """
         try:
             return await self._open(address, member_id)
         except (TimeoutError, grpc.RpcError, grpc.aio.UsageError, msgspec.DecodeError) as exc:
-            logging.debug("no stream to %s: %s", address, exc)
+            logging.debug("failed to open a stream to %s: %s", address, exc)
         except (Exception, asyncio.CancelledError):
-            # A certificate that is just being replaced, say, or a call that gRPC has cancelled. If
-            # the task that dials ended by it, the peer would never be dialled again.
+            # For example, a certificate is just being replaced, or gRPC has cancelled the call. If
+            # this ended the dialling task, the peer would never be dialled again.
             if cancellations.is_own():
                 raise
-            logging.warning("no stream to %s", address, exc_info=True)
+            logging.warning("failed to open a stream to %s", address, exc_info=True)
         return False
 
     async def _open(self, address: str, member_id: str) -> bool:
@@ -325,7 +325,7 @@
     def _dispatch(self, member_id: str, item: Item) -> None:
         m = self.members.by_id.get(member_id)
         if m is None or (_is_dead(m) and not isinstance(item.body, Gossip)):
-            # A member that was declared dead may have woken; it has to find that out first.
+            # A member that was declared dead may have resumed; gossip must tell it so first.
             return
         if item.request < 0:
             called_id, future = self._pending_answers.get(-item.request, ("", None))
@@ -339,8 +339,8 @@
         try:
             result = handler(m, item.body)
         except (Exception, asyncio.CancelledError) as exc:
-            # Also a cancellation: this function gives up control nowhere, so it isn't this task's,
-            # but comes from a result that the handler has read, and would end the stream.
+            # Includes cancellations: this function never awaits, so one isn't this task's own but
+            # comes from a result that the handler has read, and would end the stream.
             result = _failed(type(item.body).__name__, exc)
         if inspect.isawaitable(result):
             self._spawn(self._answer_when_done(member_id, item.request, result))
@@ -351,8 +351,8 @@
         try:
             answer = await result
         except (Exception, asyncio.CancelledError) as exc:
-            # Also a cancellation, of this task or of what it waits for: the peer would otherwise
-            # wait for its whole time, and a caller's request with it.
+            # Includes a cancellation of this task or of what it awaits: the peer, and a caller's
+            # request with it, would otherwise wait for the full timeout.
             answer = _failed(f"call of {member_id}", exc)
         self._answer(member_id, request, answer)
 
@@ -383,36 +383,36 @@
         return min(self.settings.peers.heartbeat_s, self.settings.peers.suspect_s / 2)
 
     def _heartbeat(self) -> None:
-        """Close silent streams; send an empty frame on those with nothing else to say.
+        """Close silent streams and send an empty frame on those without recent writes.
 
-        A stream whose path was lost stays open for good and swallows what is sent. The peer's
-        heartbeat makes its silence tell, and a new stream takes a new connection.
+        A stream whose network path was lost stays open forever and loses what is sent. As the peer
+        sends heartbeats, silence shows the loss, and a new stream uses a new connection.
         """
         for link in list(self.links_by_id.values()):
             stream = link.stream
             if stream is None:
                 continue
             if stream.silent_for() > self.settings.peers.suspect_s:
-                logging.info("stream to %s is silent", link.member_id)
+                logging.info("closing the silent stream to %s", link.member_id)
                 link.close()
                 self.members.suspect(link.member_id)
             elif stream.unwritten_for() > self._heartbeat_interval_s() * 0.9:
                 link.wake.set()
 
     def _on_gap(self, lost_s: float) -> None:
-        """Close all streams after a pause: what they brought may be out of date."""
+        """Close all streams after a pause: messages received on them may be out of date."""
         for link in self.links_by_id.values():
             link.close()
 
 
 def _failed(what: str, exc: BaseException) -> Failed:
-    """The answer to a call whose handler has failed, with a line."""
+    """Log the failure of a call's handler and return the answer to the call."""
     logging.error("%s failed", what, exc_info=exc)
     return Failed(f"{type(exc).__name__}: {exc}")
 
 
 def _drop_ended(tasks_by_key: dict[str, asyncio.Task[None]]) -> None:
-    """Drop the tasks that have ended: one that is still needed is started anew."""
+    """Remove the ended tasks, so that those still needed are restarted; log their failures."""
     for key, task in list(tasks_by_key.items()):
         if not task.done():
             continue
@@ -429,8 +429,8 @@
 
 def _hello_of(data: Any) -> Hello:
     if data is grpc.aio.EOF:
-        raise msgspec.DecodeError("the stream ended before its greeting")
+        raise msgspec.DecodeError("the stream ended before its Hello message")
     items = decode(data).items
     if not items or not isinstance(items[0].body, Hello):
-        raise msgspec.DecodeError("the stream starts without a greeting")
+        raise msgspec.DecodeError("the stream doesn't start with a Hello message")
     return items[0].body
