--- a/features/steps/peer_calls_steps.py
+++ b/features/steps/peer_calls_steps.py
@@ -34,7 +34,7 @@
     raise AssertionError("answered")
 
 
-async def _call_beside(address):
+async def _call_on_closed_channel(address):
     # The first one's time is over first, so the connection is given up under the other.
     client = PeerClient()
     # Connected first: a call that finds no connection in its time has certainly not been heard.
@@ -59,10 +59,10 @@
     return outcome
 
 
-async def _call_ending(handle, stays):
+async def _call_listener(handle, keeps_listening):
     server = await asyncio.start_server(handle, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    if not stays:
+    if not keeps_listening:
         server.close()
         await server.wait_closed()
     outcome = await _call(f"127.0.0.1:{port}")
@@ -88,7 +88,7 @@
             await self.may_answer.wait()
         return msgspec.msgpack.encode(name)
 
-    async def play(self, silent_s, *, quick):
+    async def run(self, silent_s, *, quick):
         """Put a slow call, a silent one and perhaps, once it is under way, a quick one."""
         server, address = await serve(self.answer)
         client = PeerClient()
@@ -109,10 +109,10 @@
 
 
 @when("a daemon puts two calls to another one, and one of them times out after {time:g} s {beside}")
-def put_calls(context, time, beside):
+def make_calls(context, time, beside):
     context.daemon = SlowDaemon()
     quick = beside == "while a third answered"
-    context.result = asyncio.run(context.daemon.play(time, quick=quick))
+    context.result = asyncio.run(context.daemon.run(time, quick=quick))
 
 
 @then("the other one is answered, on the only connection")
@@ -124,11 +124,13 @@
 @when("a daemon calls one that {state}")
 def call_daemon(context, state):
     calls = {
-        "has ended": lambda: _call_ending(_end_connections, stays=False),
-        "ends each connection": lambda: _call_ending(_end_connections, stays=True),
-        "ends while it works on the call": lambda: _call_ending(_end_after_call, stays=True),
+        "has ended": lambda: _call_listener(_end_connections, keeps_listening=False),
+        "ends each connection": lambda: _call_listener(_end_connections, keeps_listening=True),
+        "ends while it works on the call": lambda: _call_listener(
+            _end_after_call, keeps_listening=True
+        ),
         "answers nothing": _call_silent,
-        "is given up by another call": lambda: _call_silent(_call_beside),
+        "is given up by another call": lambda: _call_silent(_call_on_closed_channel),
     }
     context.unreachable = asyncio.run(calls[state]())
 
@@ -172,7 +174,7 @@
         self.peers.append(context.peer())
         await context.abort(grpc.StatusCode.INTERNAL, "the handler of quick gave no answer")
 
-    async def play(self, silent_s):
+    async def run(self, silent_s):
         """Put a slow call and a silent one, and a quick one that is told of a failure."""
         server, address = await serve(self.answer)
         client = PeerClient()
@@ -194,15 +196,15 @@
 @when(
     "a daemon puts two calls to another one, and one times out while a third is told of a failure"
 )
-def put_calls_beside_failure(context):
+def make_calls_beside_failure(context):
     context.daemon = FailingDaemon()
-    context.result = asyncio.run(context.daemon.play(0.5))
+    context.result = asyncio.run(context.daemon.run(0.5))
 
 
 @when(
     "a daemon puts two jobs and a question of {short:g} s to an owner that answers after {time:g} s"
 )
-def put_jobs_and_question(context, short, time):
+def send_jobs_and_query(context, short, time):
     async def main():
         async def answer(raw, call):
             name, _ = msgspec.msgpack.decode(raw)
--- a/features/steps/peers_endings_steps.py
+++ b/features/steps/peers_endings_steps.py
@@ -99,24 +99,24 @@
         elif reason == "opening is cancelled":
             self.failure = asyncio.CancelledError()
         elif reason == "the tasks that keep it end":
-            for task in keeping_tasks():
+            for task in connection_tasks():
                 task.cancel()
         else:
             self.key.rename(self.key.with_suffix(".away"))
 
-    def mend_dials(self):
+    def restore_dials(self):
         """Have dials work again."""
         self.failure = None
-        away = self.key.with_suffix(".away")
-        if away.exists():
-            away.rename(self.key)
+        moved_key = self.key.with_suffix(".away")
+        if moved_key.exists():
+            moved_key.rename(self.key)
 
     def are_connected(self):
         """Whether both have a stream."""
         return all(peer.peers.connected() for peer in self.peers)
 
 
-def keeping_tasks():
+def connection_tasks():
     """The tasks that keep streams open."""
     return [task for task in asyncio.all_tasks() if task.get_name().startswith("peer:")]
 
@@ -154,20 +154,20 @@
             handle = fail if handler == "plain function" else fail_later
             pair.peers[1].peers.handle(RecordsAsk, handle)
             try:
-                context.told = await pair.peers[0].call()
+                context.result = await pair.peers[0].call()
             except PeerError as exc:
-                context.told = exc
-            context.next = await pair.peers[0].call()
+                context.result = exc
+            context.next_answer = await pair.peers[0].call()
 
     pair = context.make_pair()
     asyncio.run(main())
 
 
 @then("peers' call is told of a failure, and the next call is answered")
-def see_failure(context):
-    assert isinstance(context.told, PeerError), context.told
-    assert "no answer" not in context.told.detail, context.told
-    assert context.next == RecordsAsk(2), context.next
+def check_failure(context):
+    assert isinstance(context.result, PeerError), context.result
+    assert "no answer" not in context.result.detail, context.result
+    assert context.next_answer == RecordsAsk(2), context.next_answer
 
 
 @when("peers can't open their {which} stream for a while: {reason}")
@@ -179,20 +179,20 @@
         async with pair:
             if which == "next":
                 await until(pair.are_connected, "the first stream")
-                await until(lambda: len(keeping_tasks()) == 2, "both keep it")
+                await until(lambda: len(connection_tasks()) == 2, "both keep it")
                 pair.break_dials(reason)
                 for peer in pair.peers:
                     for link in peer.peers.links_by_id.values():
                         link.close()
             if reason != "the tasks that keep it end":
                 await until(lambda: len(pair.failed) == 2, "both have dialled in vain")
-            pair.mend_dials()
+            pair.restore_dials()
             await until(pair.are_connected, "the stream after it")
-            context.next = await pair.peers[0].call()
+            context.next_answer = await pair.peers[0].call()
 
     asyncio.run(main())
 
 
 @then("peers are connected again, and the next call is answered")
-def see_answer(context):
-    assert context.next == RecordsAsk(2), context.next
+def check_answer(context):
+    assert context.next_answer == RecordsAsk(2), context.next_answer
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -65,21 +65,21 @@
         except OSError:
             return None
 
-    def seen(self, host):
+    def states_seen_by(self, host):
         """The states of all hosts as one sees them."""
         return self.ask(host)["members"]
 
 
-def until(met, what, limit_s=LIMIT_S):
+def until(condition, what, limit_s=LIMIT_S):
     """Wait until something is so."""
     end = time.monotonic() + limit_s
-    while not (found := met()):
+    while not (found := condition()):
         assert time.monotonic() < end, f"not within {limit_s} s: {what}"
         time.sleep(0.1)
     return found
 
 
-def names(text):
+def split_hosts(text):
     return text.split(", ")
 
 
@@ -88,28 +88,28 @@
     context.cluster = Cluster(context)
     context.cluster.add(first)
     seed = f"127.0.0.1:{context.cluster.ports_by_host[first][0]}"
-    for host in names(hosts):
+    for host in split_hosts(hosts):
         if host != first:
             context.cluster.add(host, seed=seed)
-    see_all(context, hosts)
+    check_all_live(context, hosts)
 
 
 @then("members all see {hosts} live and agree on owners")
-def see_all(context, hosts):
+def check_all_live(context, hosts):
     cluster = context.cluster
-    wanted = dict.fromkeys(names(hosts), "live")
+    expected = dict.fromkeys(split_hosts(hosts), "live")
 
     def agreed():
         states = [cluster.ask(host) for host in cluster.alive]
-        if not all(s is not None and s["members"] == wanted for s in states):
+        if not all(s is not None and s["members"] == expected for s in states):
             return False
         return len({s["owner"] for s in states}) == 1
 
-    until(agreed, f"all see {wanted}")
+    until(agreed, f"all see {expected}")
 
 
 @then("members answer each other's calls")
-def call(context):
+def check_calls(context):
     for host in context.cluster.alive:
         answers = context.cluster.ask(host, "call")
         assert len(answers) == len(context.cluster.alive) - 1 and all(answers.values()), answers
@@ -130,13 +130,16 @@
 
 
 @then("members {hosts} see {host} {state}")
-def see_one(context, hosts, host, state):
-    for each in names(hosts):
-        until(lambda each=each: context.cluster.seen(each).get(host) == state, f"{host} {state}")
+def check_state(context, hosts, host, state):
+    for each in split_hosts(hosts):
+        until(
+            lambda each=each: context.cluster.states_seen_by(each).get(host) == state,
+            f"{host} {state}",
+        )
 
 
 @then("member {host} is {identity}")
-def see_identity(context, host, identity):
+def check_identity(context, host, identity):
     now = context.cluster.ask(host)["me"]
     assert identity == "the same or another" or now != context.cluster.before, now
     for each in context.cluster.alive:
@@ -145,12 +148,12 @@
 
 
 @when("member {host} publishes a word")
-def publish(context, host):
+def publish_notice(context, host):
     context.cluster.ask(host, "publish")
 
 
 @then("members all know the word")
-def see_word(context):
+def check_notice(context):
     for host in context.cluster.alive:
         until(lambda host=host: context.cluster.ask(host)["notice"] == 1, f"{host} knows the word")
 
@@ -166,7 +169,7 @@
         seed = f"127.0.0.1:{ports[0]}" if i else ""
         context.cluster.add(host, seed=seed, peers_port=ports[2 * i], listen=ports[2 * i + 1])
     context.relays = relays
-    see_all(context, "e1, e2")
+    check_all_live(context, "e1, e2")
     until(lambda: all(context.cluster.ask("e1", "call").values()), "the first call")
 
 
@@ -185,7 +188,7 @@
 
 
 @then("peers' calls are answered again within {limit:g} s")
-def see_calls(context, limit):
+def check_calls_answered(context, limit):
     def answered():
         answers = [context.cluster.ask(host, "call") for host in ("e1", "e2")]
         return all(a and all(a.values()) for a in answers)
@@ -209,7 +212,7 @@
 
 
 @then("slots in use were never more than 8 at an executor, by the processes' own record")
-def see_record(context):
+def check_uses(context):
     changes = []
     for line in context.cluster.log.read_text().splitlines():
         executor, started, ended = line.split()
@@ -222,22 +225,22 @@
 
 
 @then("peers that are left can use every slot")
-def see_every_slot(context):
+def check_every_slot_used(context):
     cluster = context.cluster
 
-    def most():
+    def all_in_use():
         cluster.log.write_text("")
         for host in cluster.alive:
             cluster.ask(host, "press?seconds=2")
         time.sleep(2.5)
-        marks = []
+        changes = []
         for line in cluster.log.read_text().splitlines():
             _, started, ended = line.split()
-            marks += [(float(started), 1), (float(ended), -1)]
+            changes += [(float(started), 1), (float(ended), -1)]
         running = peak = 0
-        for _, change in sorted(marks):
+        for _, change in sorted(changes):
             running += change
             peak = max(peak, running)
         return peak == 16
 
-    until(most, "all 16 slots are in use")
+    until(all_in_use, "all 16 slots are in use")
--- a/features/support/peer_process.py
+++ b/features/support/peer_process.py
@@ -116,7 +116,7 @@
         self.reader.way = self.broker
         self.slots.sharing = self.broker
         self.peers.handle(RecordsAsk, lambda member, message: RecordsAsk(message.first + 1))
-        self.given = self.refused = 0
+        self.acquired = self.refused = 0
 
     async def run(self) -> None:
         """Run all parts."""
@@ -135,7 +135,7 @@
             "connected": len(self.peers.connected()),
             "notice": self.gossiper.notice("word", "key"),
             "bytes": [self.peers.sent_bytes, self.peers.received_bytes],
-            "given": self.given,
+            "given": self.acquired,
             "refused": self.refused,
         }
 
@@ -149,7 +149,7 @@
                 answered[m.host] = False
         return answered
 
-    async def press(self, seconds: float) -> None:
+    async def use_slots(self, seconds: float) -> None:
         """Take slots as fast as they can be had."""
         end = time.monotonic() + seconds
         tasks = []
@@ -165,7 +165,7 @@
         except MustardgapError:
             self.refused += 1
             return
-        self.given += 1
+        self.acquired += 1
         started = time.monotonic()
         ends = min(started + random.uniform(0.02, 0.4), slot.deadline)
         line = f"{slot.executor.executor} {started} {ends}\n"
@@ -186,7 +186,9 @@
             return
         if name == "press":
             seconds = float(self.get_argument("seconds"))
-            self.application.settings["press"] = asyncio.ensure_future(self.parts.press(seconds))
+            self.application.settings["press"] = asyncio.ensure_future(
+                self.parts.use_slots(seconds)
+            )
         if name == "publish":
             self.parts.gossiper.publish("word", "key", 1, ttl_s=30.0, urgent=True)
         self.finish(self.parts.state())
