--- a/features/gateways.feature
+++ b/features/gateways.feature
@@ -57,12 +57,12 @@
     Then the call has <sent>
 
     Examples:
-      | state                           | sent               |
-      | has ended                       | certainly not left |
-      | ends each connection            | certainly not left |
-      | ends while it works on the call | perhaps been heard |
-      | answers nothing                 | perhaps been heard |
-      | is given up by another call     | perhaps been heard |
+      | state                                           | sent                    |
+      | has ended                                       | certainly not been sent |
+      | ends each connection                            | certainly not been sent |
+      | ends while it works on the call                 | possibly been received  |
+      | answers nothing                                 | possibly been received  |
+      | is silent until another call closes the channel | possibly been received  |
 
   Scenario Outline: A call goes on when another one to the same daemon times out after <time> s <beside>
     A query to an owner times out because the owner waits for the store. The time-out used to close
@@ -71,8 +71,8 @@
     told that the outcome is unknown. Nor is a call that had hardly any time, because its caller's
     was nearly over, evidence that the daemon is silent.
 
-    When a daemon puts two calls to another one, and one of them times out after <time> s <beside>
-    Then the other one is answered, on the only connection
+    When a daemon makes two calls to another, and one of them times out after <time> s <beside>
+    Then the other call is answered, on the only connection
 
     Examples:
       | time | beside                 |
@@ -85,8 +85,8 @@
     connection. Neither end was logged.
 
     When a daemon calls one whose handler <ends>
-    Then the call has perhaps been heard
-    And its end wasn't its time's, and the called daemon's log tells of it as <how>
+    Then the call has possibly been received
+    And it doesn't end by a time-out, and the called daemon logs its end as <how>
 
     Examples:
       | ends              | how       |
@@ -129,8 +129,8 @@
     call's time-out still closed the channel, as only successful answers counted as proof of that;
     the call of a job under way was lost.
 
-    When a daemon puts two calls to another one, and one times out while a third is told of a failure
-    Then the other one is answered, on the only connection
+    When a daemon makes two calls to another, and one times out while a third is told of a failure
+    Then the other call is answered, on the only connection
 
   Scenario: Calls to an owner whose store is slow go on when a question to it times out
     A store is slow, and the owner reports the outcome of a job after 1.2 s. A caller's query to the
@@ -138,5 +138,5 @@
     that all calls to that owner share: calls that would have been answered in time were lost, and
     their callers told that the outcome is unknown.
 
-    When a daemon puts two jobs and a question of 0.6 s to an owner that answers after 1.2 s
+    When a daemon sends two jobs and a query of 0.6 s to an owner that answers after 1.2 s
     Then both jobs are answered
--- a/features/steps/peer_calls_steps.py
+++ b/features/steps/peer_calls_steps.py
@@ -1,4 +1,4 @@
-"""Steps of calls between daemons: what is known of one that ends without an answer."""
+"""Steps of calls between daemons: what is known of a call that ends without an answer."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 async def _end_after_call(reader, writer):
-    # The connection's preface and settings come first; a call's frames follow the answer to them.
+    # The client sends its preface and settings first, and a call's frames after the reply to them.
     writer.write(b"\x00\x00\x00\x04\x00\x00\x00\x00\x00")
     seen = 0
     while seen < 150:
@@ -35,9 +35,9 @@
 
 
 async def _call_on_closed_channel(address):
-    # The first one's time is over first, so the connection is given up under the other.
+    # The first call times out first, so the channel is closed during the other one.
     client = PeerClient()
-    # Connected first: a call that finds no connection in its time has certainly not been heard.
+    # Connects first: a call that finds no connection in time certainly hasn't been sent.
     await client.call(address, "connect", None, timeout_s=20.0)
     calls = (_call(address, client, 0.3), _call(address, client, 20.0))
     results = await asyncio.gather(*map(asyncio.ensure_future, calls), return_exceptions=True)
@@ -71,7 +71,7 @@
 
 
 class SlowDaemon:
-    """A daemon that answers quick calls at once, others when they may be, and silent ones never."""
+    """A daemon that answers quick calls at once, slow ones when allowed, and silent ones never."""
 
     def __init__(self):
         self.may_answer = asyncio.Event()
@@ -89,7 +89,7 @@
         return msgspec.msgpack.encode(name)
 
     async def run(self, silent_s, *, quick):
-        """Put a slow call, a silent one and perhaps, once it is under way, a quick one."""
+        """Make a slow call, a silent one and perhaps, once both are in flight, a quick one."""
         server, address = await serve(self.answer)
         client = PeerClient()
         slow = asyncio.ensure_future(client.call(address, "slow", None, timeout_s=20.0))
@@ -100,7 +100,7 @@
             await client.call(address, "quick", None, timeout_s=20.0)
         await asyncio.wait([silent])
         assert isinstance(silent.exception(), PeerUnreachable)
-        # The end of the silent call has done by now whatever it does to others.
+        # By now, the time-out of the silent call has had its effect on the others.
         await asyncio.sleep(0.1)
         self.may_answer.set()
         result = (await asyncio.gather(slow, return_exceptions=True))[0]
@@ -108,14 +108,14 @@
         return result
 
 
-@when("a daemon puts two calls to another one, and one of them times out after {time:g} s {beside}")
+@when("a daemon makes two calls to another, and one of them times out after {time:g} s {beside}")
 def make_calls(context, time, beside):
     context.daemon = SlowDaemon()
     quick = beside == "while a third answered"
     context.result = asyncio.run(context.daemon.run(time, quick=quick))
 
 
-@then("the other one is answered, on the only connection")
+@then("the other call is answered, on the only connection")
 def check_other(context):
     assert context.result == "slow", repr(context.result)
     assert len(set(context.daemon.peers)) == 1, context.daemon.peers
@@ -130,7 +130,9 @@
             _end_after_call, keeps_listening=True
         ),
         "answers nothing": _call_silent,
-        "is given up by another call": lambda: _call_silent(_call_on_closed_channel),
+        "is silent until another call closes the channel": lambda: _call_silent(
+            _call_on_closed_channel
+        ),
     }
     context.unreachable = asyncio.run(calls[state]())
 
@@ -151,7 +153,7 @@
     asyncio.run(main())
 
 
-@then("its end wasn't its time's, and the called daemon's log tells of it as {how}")
+@then("it doesn't end by a time-out, and the called daemon logs its end as {how}")
 def check_end(context, how):
     assert "DEADLINE" not in str(context.unreachable), context.unreachable
     assert [(row["call"], row["how"]) for row in context.lines] == [("alive", how)], context.lines
@@ -159,7 +161,7 @@
 
 @then("the call has {sent}")
 def check_sent(context, sent):
-    expected = {"certainly not left": False, "perhaps been heard": True}[sent]
+    expected = {"certainly not been sent": False, "possibly been received": True}[sent]
     assert isinstance(context.unreachable, PeerUnreachable), repr(context.unreachable)
     assert context.unreachable.sent is expected, context.unreachable
 
@@ -175,7 +177,7 @@
         await context.abort(grpc.StatusCode.INTERNAL, "the handler of quick gave no answer")
 
     async def run(self, silent_s):
-        """Put a slow call and a silent one, and a quick one that is told of a failure."""
+        """Make a slow call, a silent one, and a quick one whose handler fails."""
         server, address = await serve(self.answer)
         client = PeerClient()
         slow = asyncio.ensure_future(client.call(address, "slow", None, timeout_s=20.0))
@@ -185,7 +187,7 @@
         quick = client.call(address, "quick", None, timeout_s=20.0)
         failures = await asyncio.gather(quick, silent, return_exceptions=True)
         assert "INTERNAL" in str(failures[0]) and "DEADLINE" in str(failures[1]), failures
-        # The end of the silent call has done by now whatever it does to others.
+        # By now, the time-out of the silent call has had its effect on the others.
         await asyncio.sleep(0.1)
         self.may_answer.set()
         result = (await asyncio.gather(slow, return_exceptions=True))[0]
@@ -193,16 +195,14 @@
         return result
 
 
-@when(
-    "a daemon puts two calls to another one, and one times out while a third is told of a failure"
-)
+@when("a daemon makes two calls to another, and one times out while a third is told of a failure")
 def make_calls_beside_failure(context):
     context.daemon = FailingDaemon()
     context.result = asyncio.run(context.daemon.run(0.5))
 
 
 @when(
-    "a daemon puts two jobs and a question of {short:g} s to an owner that answers after {time:g} s"
+    "a daemon sends two jobs and a query of {short:g} s to an owner that answers after {time:g} s"
 )
 def send_jobs_and_query(context, short, time):
     async def main():
--- a/features/steps/peers_endings_steps.py
+++ b/features/steps/peers_endings_steps.py
@@ -1,4 +1,4 @@
-"""Steps for peers whose handlers and dials end in ways that nobody expected, in one process."""
+"""Steps for peers whose handlers and dials end in unexpected ways, in one process."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -53,13 +53,13 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def call(self):
-        """Call the other one."""
+        """Call the other peer."""
         (other,) = self.members.peers()
         return await self.peers.call(other.id, RecordsAsk(1), timeout_s=CALL_S)
 
 
 class Pair:
-    """Two peers; dials fail as they are told to."""
+    """Two peers whose dials fail on request."""
 
     def __init__(self, *, tls=None, key=None):
         self.key = key
@@ -93,31 +93,31 @@
             raise
 
     def break_dials(self, reason):
-        """Have dials fail."""
-        if reason == "opening fails by a fault":
+        """Make dials fail."""
+        if reason == "opening raises an error":
             self.failure = ValueError("a fault of ours")
         elif reason == "opening is cancelled":
             self.failure = asyncio.CancelledError()
-        elif reason == "the tasks that keep it end":
+        elif reason == "the tasks that keep it open end":
             for task in connection_tasks():
                 task.cancel()
         else:
             self.key.rename(self.key.with_suffix(".away"))
 
     def restore_dials(self):
-        """Have dials work again."""
+        """Make dials succeed again."""
         self.failure = None
         moved_key = self.key.with_suffix(".away")
         if moved_key.exists():
             moved_key.rename(self.key)
 
     def are_connected(self):
-        """Whether both have a stream."""
+        """Return whether both have an open stream."""
         return all(peer.peers.connected() for peer in self.peers)
 
 
 def connection_tasks():
-    """The tasks that keep streams open."""
+    """Return the tasks that keep streams open."""
     return [task for task in asyncio.all_tasks() if task.get_name().startswith("peer:")]
 
 
@@ -179,15 +179,15 @@
         async with pair:
             if which == "next":
                 await until(pair.are_connected, "the first stream")
-                await until(lambda: len(connection_tasks()) == 2, "both keep it")
+                await until(lambda: len(connection_tasks()) == 2, "both keep it open")
                 pair.break_dials(reason)
                 for peer in pair.peers:
                     for link in peer.peers.links_by_id.values():
                         link.close()
-            if reason != "the tasks that keep it end":
-                await until(lambda: len(pair.failed) == 2, "both have dialled in vain")
+            if reason != "the tasks that keep it open end":
+                await until(lambda: len(pair.failed) == 2, "both have failed to dial")
             pair.restore_dials()
-            await until(pair.are_connected, "the stream after it")
+            await until(pair.are_connected, "a new stream")
             context.next_answer = await pair.peers[0].call()
 
     asyncio.run(main())
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -13,7 +13,7 @@
 
 
 class Cluster:
-    """Processes by host, and what to ask them."""
+    """The processes by host, and queries to them."""
 
     def __init__(self, context):
         self.processes = context.processes
@@ -51,14 +51,14 @@
         self.start(host)
 
     def start(self, host):
-        """Start a host's process, again under the same name and address."""
+        """Start a host's process, or restart it under the same name and address."""
         options = json.dumps(self.options_by_host[host])
         self.processes.start(host, "features.support.peer_process", options)
         self.alive.append(host)
         until(lambda: self.ask(host), f"{host} answers")
 
     def ask(self, host, path="state"):
-        """One answer, or None."""
+        """Return a process's answer, or None."""
         try:
             with urlopen(f"http://127.0.0.1:{self.ports_by_host[host][1]}/{path}", timeout=9) as r:
                 return json.load(r)
@@ -66,12 +66,12 @@
             return None
 
     def states_seen_by(self, host):
-        """The states of all hosts as one sees them."""
+        """Return the states of all hosts as one of them sees them."""
         return self.ask(host)["members"]
 
 
 def until(condition, what, limit_s=LIMIT_S):
-    """Wait until something is so."""
+    """Wait until a condition holds."""
     end = time.monotonic() + limit_s
     while not (found := condition()):
         assert time.monotonic() < end, f"not within {limit_s} s: {what}"
@@ -147,15 +147,17 @@
         assert now in ids, (now, ids)
 
 
-@when("member {host} publishes a word")
+@when("member {host} publishes a notice")
 def publish_notice(context, host):
     context.cluster.ask(host, "publish")
 
 
-@then("members all know the word")
+@then("members all know the notice")
 def check_notice(context):
     for host in context.cluster.alive:
-        until(lambda host=host: context.cluster.ask(host)["notice"] == 1, f"{host} knows the word")
+        until(
+            lambda host=host: context.cluster.ask(host)["notice"] == 1, f"{host} knows the notice"
+        )
 
 
 @given("peers e1 and e2 with a path between them that can be cut")
@@ -201,17 +203,17 @@
     cluster = context.cluster
     for host in cluster.alive:
         cluster.ask(host, f"press?seconds={seconds + 12}")
-    until(lambda: all(cluster.ask(h)["given"] > 20 for h in cluster.alive), "slots are given")
+    until(lambda: all(cluster.ask(h)["given"] > 20 for h in cluster.alive), "slots are acquired")
     change_member(context, "e3", "killed")
     time.sleep(1)
     change_member(context, "e2", "frozen")
     time.sleep(seconds)
     before = cluster.ask("e1")["given"]
     change_member(context, "e2", "woken")
-    until(lambda: cluster.ask("e1")["given"] > before + 50, "slots are given again")
+    until(lambda: cluster.ask("e1")["given"] > before + 50, "slots are acquired again")
 
 
-@then("slots in use were never more than 8 at an executor, by the processes' own record")
+@then("slots in use were never more than 8 at an executor, as recorded by the processes")
 def check_uses(context):
     changes = []
     for line in context.cluster.log.read_text().splitlines():
@@ -224,7 +226,7 @@
     assert len(changes) > 200
 
 
-@then("peers that are left can use every slot")
+@then("the remaining peers can use every slot")
 def check_every_slot_used(context):
     cluster = context.cluster
 
--- a/features/support/peer_process.py
+++ b/features/support/peer_process.py
@@ -1,8 +1,8 @@
-"""A small process with members, peer streams, gossip and slots, to be killed, stopped and parted.
+"""A small process with members, peer streams, gossip and slots, to kill, freeze or partition.
 
 It answers on an HTTP port: ``/state``, ``/call`` (a call to every member), ``/press?seconds=``
 (takes slots as fast as it can) and ``/publish``. Each use of a slot is written to a file shared by
-all processes, with the time at which the executor will be done with it.
+all processes, with the times at which the executor starts and ends it.
 """
 
 import asyncio
@@ -40,14 +40,14 @@
     """Two executors of 8 slots."""
 
     def candidates(self, service: str) -> list[ExecutorView]:
-        """Both."""
+        """Return both."""
         return [ExecutorView(f"x{i}", "127.0.0.1:1", f"w{i}", "r", 8, 1.0) for i in range(2)]
 
 
 class FileLog(FakeLog):
     """The platform's log and host list as files that all processes share.
 
-    :param path: the log's file; each host touches one of its own beside it.
+    :param path: the log's file; each host touches a file of its own next to it.
     """
 
     def __init__(self, *, path: str) -> None:
@@ -57,13 +57,13 @@
 
     @property
     def records(self) -> list[LogRecord]:  # type: ignore[override]
-        """All records."""
+        """Return all records."""
         lines = self.path.read_text().splitlines()
         return [LogRecord(offset, *json.loads(line)) for offset, line in enumerate(lines)]
 
     @records.setter
     def records(self, value: list[LogRecord]) -> None:
-        """Keep what is in the file."""
+        """Ignore the value: the records are in the file."""
 
     def append(self, body: Any, *, writer: str) -> None:
         """Append an entry record."""
@@ -71,11 +71,11 @@
         os.write(self._file, f"{json.dumps([time.time(), value])}\n".encode())
 
     def note(self, host: str) -> None:
-        """Note that a host is there."""
+        """Record that a host is present."""
         self.path.with_name(f"{host}.seen").touch()
 
     def listed(self) -> frozenset[str]:
-        """The hosts that were there of late."""
+        """Return the hosts that were present recently."""
         after = time.time() - LISTED_S
         seen = self.path.parent.glob("*.seen")
         return frozenset(path.stem for path in seen if path.stat().st_mtime > after)
@@ -126,7 +126,7 @@
         await asyncio.gather(*(run() for run in runs))
 
     def state(self) -> dict[str, Any]:
-        """What this process knows."""
+        """Return what this process knows."""
         return {
             "me": self.members.me.id,
             "members": {m.host: m.state.name for m in self.members.by_id.values()},
@@ -140,7 +140,7 @@
         }
 
     async def call_all(self) -> dict[str, bool]:
-        """Call every member."""
+        """Call every member; return which have answered."""
         answered = {}
         for m in self.members.peers():
             try:
@@ -150,7 +150,7 @@
         return answered
 
     async def use_slots(self, seconds: float) -> None:
-        """Take slots as fast as they can be had."""
+        """Take slots as fast as they are available."""
         end = time.monotonic() + seconds
         tasks = []
         while time.monotonic() < end:
@@ -175,12 +175,12 @@
 
 
 class Handler(RequestHandler):
-    """Answers the test."""
+    """Answers the test's requests."""
 
     parts: Parts
 
     async def get(self, name: str) -> None:
-        """Answer one of the calls named in the module's docstring."""
+        """Answer a request to one of the paths in the module's docstring."""
         if name == "call":
             self.finish(await self.parts.call_all())
             return
--- a/features/support/peer_servers.py
+++ b/features/support/peer_servers.py
@@ -1,4 +1,4 @@
-"""A server for daemons' calls, with one handler of the test's own."""
+"""A server for daemons' calls, whose handler the test provides."""
 
 import grpc
 
@@ -6,7 +6,7 @@
 
 
 async def serve(answer):
-    """Serve calls with a handler; the server and its address."""
+    """Serve calls with a handler; return the server and its address."""
     server = grpc.aio.server()
     handler = grpc.unary_unary_rpc_method_handler(answer)
     server.add_generic_rpc_handlers(
--- a/mustardgap/peer_calls.py
+++ b/mustardgap/peer_calls.py
@@ -24,7 +24,8 @@
 ]
 
 # A connection counts as silent if no answer arrived on it while a call waited for so long. It is
-# about 60 times an owner's usual reply time, and below all timeouts but those cut by a caller's.
+# about 60 times an owner's usual reply time, and shorter than any call's timeout unless the
+# caller's own time is nearly over.
 SILENT_AFTER_S = 0.3
 
 # How long calls in flight keep a retired channel open: longer than the longest call timeout.
