--- a/features/steps/peer_calls_steps.py
+++ b/features/steps/peer_calls_steps.py
@@ -1,4 +1,4 @@
-"""Steps of calls between daemons: what is known of one that ends without an answer."""
+"""Steps of calls between daemons: what is known of a call that ends without an answer."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 async def _end_after_call(reader, writer):
-    # The connection's preface and settings come first; a call's frames follow the answer to them.
+    # The client sends its preface and settings first, and a call's frames after the reply to them.
     writer.write(b"\x00\x00\x00\x04\x00\x00\x00\x00\x00")
     seen = 0
     while seen < 150:
@@ -34,10 +34,10 @@
     raise AssertionError("answered")
 
 
-async def _call_beside(address):
-    # The first one's time is over first, so the connection is given up under the other.
+async def _call_on_closed_channel(address):
+    # The first call times out first, so the channel is closed during the other one.
     client = PeerClient()
-    # Connected first: a call that finds no connection in its time has certainly not been heard.
+    # Connects first: a call that finds no connection in time certainly hasn't been sent.
     await client.call(address, "connect", None, timeout_s=20.0)
     calls = (_call(address, client, 0.3), _call(address, client, 20.0))
     results = await asyncio.gather(*map(asyncio.ensure_future, calls), return_exceptions=True)
@@ -59,10 +59,10 @@
     return outcome
 
 
-async def _call_ending(handle, stays):
+async def _call_listener(handle, keeps_listening):
     server = await asyncio.start_server(handle, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    if not stays:
+    if not keeps_listening:
         server.close()
         await server.wait_closed()
     outcome = await _call(f"127.0.0.1:{port}")
@@ -71,7 +71,7 @@
 
 
 class SlowDaemon:
-    """A daemon that answers quick calls at once, others when they may be, and silent ones never."""
+    """A daemon that answers quick calls at once, slow ones when allowed, and silent ones never."""
 
     def __init__(self):
         self.may_answer = asyncio.Event()
@@ -88,8 +88,8 @@
             await self.may_answer.wait()
         return msgspec.msgpack.encode(name)
 
-    async def play(self, silent_s, *, quick):
-        """Put a slow call, a silent one and perhaps, once it is under way, a quick one."""
+    async def run(self, silent_s, *, quick):
+        """Make a slow call, a silent one and perhaps, once both are in flight, a quick one."""
         server, address = await serve(self.answer)
         client = PeerClient()
         slow = asyncio.ensure_future(client.call(address, "slow", None, timeout_s=20.0))
@@ -100,7 +100,7 @@
             await client.call(address, "quick", None, timeout_s=20.0)
         await asyncio.wait([silent])
         assert isinstance(silent.exception(), PeerUnreachable)
-        # The end of the silent call has done by now whatever it does to others.
+        # By now, the time-out of the silent call has had its effect on the others.
         await asyncio.sleep(0.1)
         self.may_answer.set()
         result = (await asyncio.gather(slow, return_exceptions=True))[0]
@@ -108,14 +108,14 @@
         return result
 
 
-@when("a daemon puts two calls to another one, and one of them times out after {time:g} s {beside}")
-def put_calls(context, time, beside):
+@when("a daemon makes two calls to another, and one of them times out after {time:g} s {beside}")
+def make_calls(context, time, beside):
     context.daemon = SlowDaemon()
     quick = beside == "while a third answered"
-    context.result = asyncio.run(context.daemon.play(time, quick=quick))
+    context.result = asyncio.run(context.daemon.run(time, quick=quick))
 
 
-@then("the other one is answered, on the only connection")
+@then("the other call is answered, on the only connection")
 def check_other(context):
     assert context.result == "slow", repr(context.result)
     assert len(set(context.daemon.peers)) == 1, context.daemon.peers
@@ -124,11 +124,15 @@
 @when("a daemon calls one that {state}")
 def call_daemon(context, state):
     calls = {
-        "has ended": lambda: _call_ending(_end_connections, stays=False),
-        "ends each connection": lambda: _call_ending(_end_connections, stays=True),
-        "ends while it works on the call": lambda: _call_ending(_end_after_call, stays=True),
+        "has ended": lambda: _call_listener(_end_connections, keeps_listening=False),
+        "ends each connection": lambda: _call_listener(_end_connections, keeps_listening=True),
+        "ends while it works on the call": lambda: _call_listener(
+            _end_after_call, keeps_listening=True
+        ),
         "answers nothing": _call_silent,
-        "is given up by another call": lambda: _call_silent(_call_beside),
+        "is silent until another call closes the channel": lambda: _call_silent(
+            _call_on_closed_channel
+        ),
     }
     context.unreachable = asyncio.run(calls[state]())
 
@@ -149,7 +153,7 @@
     asyncio.run(main())
 
 
-@then("its end wasn't its time's, and the called daemon's log tells of it as {how}")
+@then("it doesn't end by a time-out, and the called daemon logs its end as {how}")
 def check_end(context, how):
     assert "DEADLINE" not in str(context.unreachable), context.unreachable
     assert [(row["call"], row["how"]) for row in context.lines] == [("alive", how)], context.lines
@@ -157,7 +161,7 @@
 
 @then("the call has {sent}")
 def check_sent(context, sent):
-    expected = {"certainly not left": False, "perhaps been heard": True}[sent]
+    expected = {"certainly not been sent": False, "possibly been received": True}[sent]
     assert isinstance(context.unreachable, PeerUnreachable), repr(context.unreachable)
     assert context.unreachable.sent is expected, context.unreachable
 
@@ -172,8 +176,8 @@
         self.peers.append(context.peer())
         await context.abort(grpc.StatusCode.INTERNAL, "the handler of quick gave no answer")
 
-    async def play(self, silent_s):
-        """Put a slow call and a silent one, and a quick one that is told of a failure."""
+    async def run(self, silent_s):
+        """Make a slow call, a silent one, and a quick one whose handler fails."""
         server, address = await serve(self.answer)
         client = PeerClient()
         slow = asyncio.ensure_future(client.call(address, "slow", None, timeout_s=20.0))
@@ -183,7 +187,7 @@
         quick = client.call(address, "quick", None, timeout_s=20.0)
         failures = await asyncio.gather(quick, silent, return_exceptions=True)
         assert "INTERNAL" in str(failures[0]) and "DEADLINE" in str(failures[1]), failures
-        # The end of the silent call has done by now whatever it does to others.
+        # By now, the time-out of the silent call has had its effect on the others.
         await asyncio.sleep(0.1)
         self.may_answer.set()
         result = (await asyncio.gather(slow, return_exceptions=True))[0]
@@ -191,18 +195,16 @@
         return result
 
 
-@when(
-    "a daemon puts two calls to another one, and one times out while a third is told of a failure"
-)
-def put_calls_beside_failure(context):
+@when("a daemon makes two calls to another, and one times out while a third is told of a failure")
+def make_calls_beside_failure(context):
     context.daemon = FailingDaemon()
-    context.result = asyncio.run(context.daemon.play(0.5))
+    context.result = asyncio.run(context.daemon.run(0.5))
 
 
 @when(
-    "a daemon puts two jobs and a question of {short:g} s to an owner that answers after {time:g} s"
+    "a daemon sends two jobs and a query of {short:g} s to an owner that answers after {time:g} s"
 )
-def put_jobs_and_question(context, short, time):
+def send_jobs_and_query(context, short, time):
     async def main():
         async def answer(raw, call):
             name, _ = msgspec.msgpack.decode(raw)
--- a/features/support/peer_process.py
+++ b/features/support/peer_process.py
@@ -1,8 +1,8 @@
-"""A small process with members, peer streams, gossip and slots, to be killed, stopped and parted.
+"""A small process with members, peer streams, gossip and slots, to kill, freeze or partition.
 
 It answers on an HTTP port: ``/state``, ``/call`` (a call to every member), ``/press?seconds=``
 (takes slots as fast as it can) and ``/publish``. Each use of a slot is written to a file shared by
-all processes, with the time at which the executor will be done with it.
+all processes, with the times at which the executor starts and ends it.
 """
 
 import asyncio
@@ -40,14 +40,14 @@
     """Two executors of 8 slots."""
 
     def candidates(self, service: str) -> list[ExecutorView]:
-        """Both."""
+        """Return both."""
         return [ExecutorView(f"x{i}", "127.0.0.1:1", f"w{i}", "r", 8, 1.0) for i in range(2)]
 
 
 class FileLog(FakeLog):
     """The platform's log and host list as files that all processes share.
 
-    :param path: the log's file; each host touches one of its own beside it.
+    :param path: the log's file; each host touches a file of its own next to it.
     """
 
     def __init__(self, *, path: str) -> None:
@@ -57,13 +57,13 @@
 
     @property
     def records(self) -> list[LogRecord]:  # type: ignore[override]
-        """All records."""
+        """Return all records."""
         lines = self.path.read_text().splitlines()
         return [LogRecord(offset, *json.loads(line)) for offset, line in enumerate(lines)]
 
     @records.setter
     def records(self, value: list[LogRecord]) -> None:
-        """Keep what is in the file."""
+        """Ignore the value: the records are in the file."""
 
     def append(self, body: Any, *, writer: str) -> None:
         """Append an entry record."""
@@ -71,11 +71,11 @@
         os.write(self._file, f"{json.dumps([time.time(), value])}\n".encode())
 
     def note(self, host: str) -> None:
-        """Note that a host is there."""
+        """Record that a host is present."""
         self.path.with_name(f"{host}.seen").touch()
 
     def listed(self) -> frozenset[str]:
-        """The hosts that were there of late."""
+        """Return the hosts that were present recently."""
         after = time.time() - LISTED_S
         seen = self.path.parent.glob("*.seen")
         return frozenset(path.stem for path in seen if path.stat().st_mtime > after)
@@ -116,17 +116,17 @@
         self.reader.way = self.broker
         self.slots.sharing = self.broker
         self.peers.handle(RecordsAsk, lambda member, message: RecordsAsk(message.first + 1))
-        self.given = self.refused = 0
+        self.acquired = self.refused = 0
 
     async def run(self) -> None:
         """Run all parts."""
-        self.timers.subscribe("gossip", self.settings.peers.gossip_s, self.gossiper.turn)
+        self.timers.subscribe("gossip", self.settings.peers.gossip_s, self.gossiper.run_round)
         runs = [self.timers.run, self.peers.run, self.slots.run, self.broker.run]
         runs += [self.reader.read_on, self.reader.act_on]
         await asyncio.gather(*(run() for run in runs))
 
     def state(self) -> dict[str, Any]:
-        """What this process knows."""
+        """Return what this process knows."""
         return {
             "me": self.members.me.id,
             "members": {m.host: m.state.name for m in self.members.by_id.values()},
@@ -135,12 +135,12 @@
             "connected": len(self.peers.connected()),
             "notice": self.gossiper.notice("word", "key"),
             "bytes": [self.peers.sent_bytes, self.peers.received_bytes],
-            "given": self.given,
+            "given": self.acquired,
             "refused": self.refused,
         }
 
     async def call_all(self) -> dict[str, bool]:
-        """Call every member."""
+        """Call every member; return which have answered."""
         answered = {}
         for m in self.members.peers():
             try:
@@ -149,8 +149,8 @@
                 answered[m.host] = False
         return answered
 
-    async def press(self, seconds: float) -> None:
-        """Take slots as fast as they can be had."""
+    async def use_slots(self, seconds: float) -> None:
+        """Take slots as fast as they are available."""
         end = time.monotonic() + seconds
         tasks = []
         while time.monotonic() < end:
@@ -165,7 +165,7 @@
         except MustardgapError:
             self.refused += 1
             return
-        self.given += 1
+        self.acquired += 1
         started = time.monotonic()
         ends = min(started + random.uniform(0.02, 0.4), slot.deadline)
         line = f"{slot.executor.executor} {started} {ends}\n"
@@ -175,18 +175,20 @@
 
 
 class Handler(RequestHandler):
-    """Answers the test."""
+    """Answers the test's requests."""
 
     parts: Parts
 
     async def get(self, name: str) -> None:
-        """Answer one of the calls named in the module's docstring."""
+        """Answer a request to one of the paths in the module's docstring."""
         if name == "call":
             self.finish(await self.parts.call_all())
             return
         if name == "press":
             seconds = float(self.get_argument("seconds"))
-            self.application.settings["press"] = asyncio.ensure_future(self.parts.press(seconds))
+            self.application.settings["press"] = asyncio.ensure_future(
+                self.parts.use_slots(seconds)
+            )
         if name == "publish":
             self.parts.gossiper.publish("word", "key", 1, ttl_s=30.0, urgent=True)
         self.finish(self.parts.state())
--- a/mustardgap/links.py
+++ b/mustardgap/links.py
@@ -1,4 +1,4 @@
-"""What is queued for one peer, and the stream it goes out on."""
+"""The queue of messages to one peer, and the stream that carries them."""
 
 import asyncio
 from collections import deque
@@ -9,7 +9,7 @@
 from .messages import AnyMessage, Item
 from .timers import Clock
 
-MAX_ITEMS_A_FRAME = 500
+MAX_ITEMS_PER_FRAME = 500
 
 
 class HasPeers(Protocol):
@@ -19,11 +19,11 @@
         """Queue a message to a member."""
 
     def handle(self, type_: type, handler: Callable[[Member, Any], Any]) -> None:
-        """Have messages of a type handled."""
+        """Register the handler for messages of a type."""
 
 
 class Stream:
-    """One open gRPC stream, from either end.
+    """One open gRPC stream, opened by either end.
 
     :param call: the gRPC call or context to read from and write to.
     :param dialer: the id of the member that opened it.
@@ -36,25 +36,25 @@
         self.clock = Clock()
         self.last_read = self.last_write = self.clock.monotonic()
 
-    def heard(self) -> None:
-        """Note that something was read."""
+    def record_read(self) -> None:
+        """Record the time of a read."""
         self.last_read = self.clock.monotonic()
 
-    def wrote(self) -> None:
-        """Note that something was written."""
+    def record_write(self) -> None:
+        """Record the time of a write."""
         self.last_write = self.clock.monotonic()
 
     def silent_for(self) -> float:
-        """Seconds since something was read."""
+        """Return the seconds since the last read."""
         return self.clock.monotonic() - self.last_read
 
     def unwritten_for(self) -> float:
-        """Seconds since something was written."""
+        """Return the seconds since the last write."""
         return self.clock.monotonic() - self.last_write
 
 
 class Link:
-    """The queue of messages to one member; it outlives streams.
+    """The queue of messages to one member, which outlives streams.
 
     :param member_id: the member at the other end.
     :param clock: the clocks to read.
@@ -66,17 +66,17 @@
         self.items: deque[Item] = deque()
         self.wake = asyncio.Event()
         self.stream: Stream | None = None
-        self.known: dict[Any, Any] = {}
+        self.known_by_peer: dict[Any, Any] = {}
         self.dropped = 0
-        self._used = clock.monotonic()
+        self._queued_at = clock.monotonic()
         self._failing_since: float | None = None
 
     def put(self, item: Item, max_queued: int) -> bool:
         """Queue a message.
 
-        :return: False when the queue is full.
+        :return: False if the queue is full.
         """
-        self._used = self.clock.monotonic()
+        self._queued_at = self.clock.monotonic()
         if len(self.items) >= max_queued:
             self.dropped += 1
             return False
@@ -84,17 +84,17 @@
         self.wake.set()
         return True
 
-    def take(self) -> list[Item]:
-        """Take what goes into the next frame."""
-        count = min(len(self.items), MAX_ITEMS_A_FRAME)
+    def next_items(self) -> list[Item]:
+        """Remove and return the messages for the next frame."""
+        count = min(len(self.items), MAX_ITEMS_PER_FRAME)
         return [self.items.popleft() for _ in range(count)]
 
     def attach(self, stream: Stream, silent_s: float) -> bool:
-        """Put a stream to use, in place of the one before it.
+        """Use a stream, in place of the current one.
 
         When both ends dial at once, both keep the stream of the lower id, unless it is silent.
 
-        :return: False when the present stream is kept.
+        :return: False if the current stream is kept.
         """
         old = self.stream
         if old is not None:
@@ -102,33 +102,33 @@
                 return False
             old.closed.set()
         self.stream = stream
-        self.known.clear()
+        self.known_by_peer.clear()
         self._failing_since = None
         self.wake.set()
         return True
 
     def detach(self, stream: Stream) -> None:
-        """Note that a stream has ended."""
+        """Mark a stream as closed and stop using it."""
         stream.closed.set()
         if self.stream is stream:
             self.stream = None
 
     def close(self) -> None:
-        """Close the present stream."""
+        """Close the current stream."""
         if self.stream is not None:
             self.detach(self.stream)
 
-    def fail(self) -> None:
-        """Note that no stream could be opened."""
+    def record_failure(self) -> None:
+        """Record that no stream could be opened."""
         if self._failing_since is None:
             self._failing_since = self.clock.monotonic()
 
-    def failed_for(self) -> float:
-        """Seconds since the first of the present failures."""
+    def failing_for(self) -> float:
+        """Return the seconds since the first failure after the last open stream."""
         if self._failing_since is None:
             return 0.0
         return self.clock.monotonic() - self._failing_since
 
     def idle_for(self) -> float:
-        """Seconds since something was queued."""
-        return self.clock.monotonic() - self._used
+        """Return the seconds since a message was last queued."""
+        return self.clock.monotonic() - self._queued_at
