--- a/features/steps/certificates_steps.py
+++ b/features/steps/certificates_steps.py
@@ -15,7 +15,7 @@
 WAIT_S = 10.0
 
 
-def issue(authority, folder, trusted=None):
+def issue_certificate(authority, folder, trusted=None):
     """Issue a certificate and write its files."""
     folder.mkdir(exist_ok=True)
     issued = authority.issue_cert("127.0.0.1")
@@ -43,7 +43,7 @@
         yield data
 
 
-async def opens(context, folder):
+async def can_open_stream(context, folder):
     """Whether a stream can be opened with a folder's keys, and carries data."""
     async with channels.open_channel(context.address, settings_of(folder)) as channel:
         call = channel.stream_stream(f"/{channels.SERVICE}/Echo")(wait_for_ready=False)
@@ -54,10 +54,10 @@
             return False
 
 
-def check(context, authority, trusted, expected):
+def check_stream(context, authority, trusted, expected):
     folder = context.folder / "client"
-    issue(authority, folder, trusted)
-    future = asyncio.run_coroutine_threadsafe(opens(context, folder), context.loop)
+    issue_certificate(authority, folder, trusted)
+    future = asyncio.run_coroutine_threadsafe(can_open_stream(context, folder), context.loop)
     assert future.result(3 * WAIT_S) is expected
 
 
@@ -65,7 +65,7 @@
 def start(context):
     context.authority = trustme.CA()
     context.keys = context.folder / "server"
-    issue(context.authority, context.keys)
+    issue_certificate(context.authority, context.keys)
     context.address = f"127.0.0.1:{free_ports(1)[0]}"
     context.loop = asyncio.new_event_loop()
     threading.Thread(target=context.loop.run_forever, daemon=True).start()
@@ -85,21 +85,21 @@
 
 @then("certificates of the authority open a stream, and those of another one don't")
 def check_first(context):
-    check(context, context.authority, context.authority, True)
-    check(context, trustme.CA(), context.authority, False)
+    check_stream(context, context.authority, context.authority, True)
+    check_stream(context, trustme.CA(), context.authority, False)
 
 
 @when("certificates are renewed under a new authority, but for the key")
 def renew_half(context):
     context.new_authority = trustme.CA()
     old_key = (context.keys / "key.pem").read_bytes()
-    context.pems = issue(context.new_authority, context.keys)
+    context.pems = issue_certificate(context.new_authority, context.keys)
     (context.keys / "key.pem").write_bytes(old_key)
 
 
 @then("certificates of the old authority still open a stream")
 def check_half(context):
-    check(context, context.authority, context.authority, True)
+    check_stream(context, context.authority, context.authority, True)
 
 
 @when("certificates' key is renewed too")
@@ -109,5 +109,5 @@
 
 @then("certificates of the new authority open a stream, and those of the old one don't")
 def check_renewed(context):
-    check(context, context.new_authority, context.new_authority, True)
-    check(context, context.authority, context.new_authority, False)
+    check_stream(context, context.new_authority, context.new_authority, True)
+    check_stream(context, context.authority, context.new_authority, False)
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -15,7 +15,7 @@
 
 from features.support.drawing import bounded
 from features.support.operators import Entries
-from features.support.tls import LeavingServer, write_keys
+from features.support.tls import DisconnectingServer, write_keys
 from mustardgap import calls, status_codes
 from mustardgap.clients import Client, ProblemError
 from mustardgap.exceptions import MustardgapError
@@ -393,7 +393,7 @@
 @given("an operators' port that answers {answered:d} requests and then {leaves}")
 def start_leaving(context, answered, leaves):
     context.authority = trustme.CA()
-    context.server = LeavingServer(
+    context.server = DisconnectingServer(
         authority=context.authority,
         answered=answered,
         reads="reads" in leaves,
--- a/features/steps/supervisors_logs_steps.py
+++ b/features/steps/supervisors_logs_steps.py
@@ -21,7 +21,7 @@
 from tools.virtual_time import VirtualClock, run
 
 PLATFORM = PlatformSettings(address="127.0.0.1:1")
-SETTLED_S = 30.0
+SETTLE_WAIT_S = 30.0
 
 
 class EmptyPlatform:
@@ -64,7 +64,7 @@
 
 async def _write(log):
     try:
-        await log.write("config", change("t1"), timeout_s=SETTLED_S)
+        await log.write("config", change("t1"), timeout_s=SETTLE_WAIT_S)
     except MustardgapError:
         # The platform's log shows nothing, so nobody hears what became of the change.
         return
@@ -73,7 +73,7 @@
 
 @when("some time goes by, in which a change is written to the state's log")
 def time_goes_by(context):
-    async def scene():
+    async def run_scenario():
         supervisor = context.supervisor = Supervisor(name="daemon")
         if context.name == "the state's log":
             log = _state_log(context.platform)
@@ -81,12 +81,12 @@
             await _write(log)
         else:
             supervisor.start_child("keys", _claims(context.platform).run)
-            await asyncio.sleep(SETTLED_S)
+            await asyncio.sleep(SETTLE_WAIT_S)
         context.children = supervisor.children()
         await supervisor.stop()
 
     with mock.patch.object(logging, "exception") as lines:
-        run(scene())
+        run(run_scenario())
     context.lines = lines.call_count
 
 
--- a/features/steps/supervisors_steps.py
+++ b/features/steps/supervisors_steps.py
@@ -11,65 +11,68 @@
 from mustardgap.exceptions import ChildFailed
 from tools.virtual_time import VirtualClock, run
 
-NEVER = 1000
-CANCELLED_BY_WORDS = {
+ALWAYS = 1000
+CANCELLATIONS_BY_BEHAVIOR = {
     "awaits what is cancelled once": 1,
     "awaits what is cancelled twice": 2,
-    "awaits what is always cancelled": NEVER,
+    "awaits what is always cancelled": ALWAYS,
 }
-SETTLED_S = 30.0
+SETTLE_WAIT_S = 30.0
 
 
 class Child:
     """A part that ends in the way that its words tell."""
 
-    def __init__(self, words):
-        self.words = words
+    def __init__(self, behavior):
+        self.behavior = behavior
         self.starts = 0
 
     async def run(self):
         self.starts += 1
-        if self.starts <= CANCELLED_BY_WORDS.get(self.words, 0):
+        if self.starts <= CANCELLATIONS_BY_BEHAVIOR.get(self.behavior, 0):
             await cancelled()
-        if self.words in ("fails once", "is stopped as it waits to restart") and self.starts == 1:
+        if (
+            self.behavior in ("fails once", "is stopped as it waits to restart")
+            and self.starts == 1
+        ):
             raise ValueError("it broke")
         try:
             await asyncio.Event().wait()
         except asyncio.CancelledError:
-            if self.words == "fails as it is stopped":
+            if self.behavior == "fails as it is stopped":
                 raise ValueError("it broke") from None
             raise
 
 
-@given("a supervisor with a child that {words}")
-def a_child(context, words):
-    context.child = Child(words)
+@given("a supervisor with a child that {behavior}")
+def a_child(context, behavior):
+    context.child = Child(behavior)
 
 
 @when("the supervisor has had time to start it again")
 def time_to_start(context):
-    async def scene():
+    async def run_scenario():
         supervisor = context.supervisor = supervisors.Supervisor(name="daemon")
-        ending = asyncio.ensure_future(supervisor.run())
+        supervision = asyncio.ensure_future(supervisor.run())
         supervisor.start_child("part", context.child.run)
         await asyncio.sleep(0.01)
-        if "is stopped" in context.child.words:
-            await asyncio.wait_for(supervisor.stop_child("part"), SETTLED_S)
-        await asyncio.sleep(SETTLED_S)
-        context.ended_by = ending.exception() if ending.done() else None
+        if "is stopped" in context.child.behavior:
+            await asyncio.wait_for(supervisor.stop_child("part"), SETTLE_WAIT_S)
+        await asyncio.sleep(SETTLE_WAIT_S)
+        context.ended_by = supervision.exception() if supervision.done() else None
         context.children = supervisor.children()
-        ending.cancel()
+        supervision.cancel()
         await supervisor.stop()
 
     with mock.patch.object(logging, "exception") as lines:
-        run(scene())
+        run(run_scenario())
     context.lines = lines.call_count
 
 
 @then("the child was started {times:d} times")
 def started(context, times):
     assert context.child.starts == times, context.child.starts
-    runs = [] if "is stopped" in context.child.words else ["part"]
+    runs = [] if "is stopped" in context.child.behavior else ["part"]
     assert context.children == runs, context.children
 
 
@@ -85,9 +88,9 @@
     assert "daemon/part" in str(context.ended_by), context.ended_by
 
 
-@given("a timer whose callback {words}")
-def a_timer(context, words):
-    context.words = words
+@given("a timer whose callback {behavior}")
+def a_timer(context, behavior):
+    context.behavior = behavior
 
 
 @when("ten periods of the timer have gone by")
@@ -98,18 +101,18 @@
         context.calls += 1
         if context.calls > 1:
             return
-        if context.words.startswith("awaits"):
+        if context.behavior.startswith("awaits"):
             await cancelled()
-        if context.words.startswith("fails"):
+        if context.behavior.startswith("fails"):
             raise ValueError("it broke")
-        if context.words.startswith("ends"):
+        if context.behavior.startswith("ends"):
             context.unsubscribe()
             await asyncio.sleep(1.0)
-        if context.words.startswith("is ended"):
+        if context.behavior.startswith("is ended"):
             asyncio.get_running_loop().call_later(0.5, context.unsubscribe)
             await asyncio.sleep(1.0)
 
-    async def scene():
+    async def run_scenario():
         service = timers.Timers(clock=VirtualClock(loop=asyncio.get_running_loop()))
         context.unsubscribe = service.subscribe("view", 1.0, callback)
         await asyncio.sleep(10.5)
@@ -117,7 +120,7 @@
         await asyncio.sleep(0)
 
     with mock.patch.object(logging, "exception") as lines:
-        run(scene())
+        run(run_scenario())
     context.lines = lines.call_count
 
 
--- a/features/support/tls.py
+++ b/features/support/tls.py
@@ -28,7 +28,7 @@
     return TlsSettings(**paths), pems
 
 
-class LeavingServer:
+class DisconnectingServer:
     """A TLS server that answers a few requests and leaves the next one's connection.
 
     :param authority: issues the server's certificate.
--- a/mustardgap/certificates.py
+++ b/mustardgap/certificates.py
@@ -11,10 +11,10 @@
 from .exceptions import SettingsError
 from .settings import TlsSettings
 
-CHECK_S = 5.0
+RELOAD_PERIOD_S = 5.0
 
 
-class Files(NamedTuple):
+class PemFiles(NamedTuple):
     """The contents of the files of one set of keys, PEM."""
 
     certificate: bytes
@@ -32,15 +32,15 @@
         self.settings = settings
         self._callbacks: list[Callable[[Certificates], None]] = []
         self.files = self._read()
-        self._context(ssl.PROTOCOL_TLS_SERVER)
+        self._make_context(ssl.PROTOCOL_TLS_SERVER)
 
     def server_context(self) -> ssl.SSLContext:
         """A context for listening; it asks the other end for a certificate."""
-        return self._context(ssl.PROTOCOL_TLS_SERVER)
+        return self._make_context(ssl.PROTOCOL_TLS_SERVER)
 
     def client_context(self) -> ssl.SSLContext:
         """A context for connecting; names aren't checked, since hosts are known by IP number."""
-        return self._context(ssl.PROTOCOL_TLS_CLIENT)
+        return self._make_context(ssl.PROTOCOL_TLS_CLIENT)
 
     def on_change(self, callback: Callable[["Certificates"], None]) -> None:
         """Call back when the files have changed and can be used."""
@@ -54,12 +54,12 @@
 
         :return: whether the keys changed.
         """
-        before = self.files
+        previous = self.files
         try:
             files = self._read()
-            if files == before:
+            if files == previous:
                 return False
-            self._context(ssl.PROTOCOL_TLS_SERVER)
+            self._make_context(ssl.PROTOCOL_TLS_SERVER)
         except SettingsError as exc:
             logging.log_every_n_seconds(logging.WARNING, "keys kept reason=%s", 60, exc)
             return False
@@ -69,14 +69,14 @@
             callback(self)
         return True
 
-    def _read(self) -> Files:
-        return Files(
+    def _read(self) -> PemFiles:
+        return PemFiles(
             _read_file(self.settings.certificate, "certificate"),
             _read_file(self.settings.key, "key"),
             _read_file(self.settings.authority, "authority"),
         )
 
-    def _context(self, protocol: int) -> ssl.SSLContext:
+    def _make_context(self, protocol: int) -> ssl.SSLContext:
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         context.check_hostname = False
--- a/mustardgap/channels.py
+++ b/mustardgap/channels.py
@@ -7,7 +7,7 @@
 import grpc
 
 from . import status_codes
-from .certificates import Certificates, Files
+from .certificates import Certificates, PemFiles
 from .exceptions import MustardgapError
 from .messages import MAX_FRAME_BYTES
 from .settings import PeersSettings, TlsSettings
@@ -91,7 +91,7 @@
     )
 
 
-def _configuration(files: Files) -> grpc.ServerCertificateConfiguration:
+def _configuration(files: PemFiles) -> grpc.ServerCertificateConfiguration:
     return grpc.ssl_server_certificate_configuration(
         [(files.key, files.certificate)], root_certificates=files.authority
     )
--- a/mustardgap/daemons.py
+++ b/mustardgap/daemons.py
@@ -19,9 +19,9 @@
 from .status_codes import Code
 from .supervisors import Supervisor
 
-READINESS_S = 0.25
-STARTING_S = 10.0
-SETTLING_S = 5.0
+READINESS_PERIOD_S = 0.25
+START_TIMEOUT_S = 10.0
+SLOTS_TIMEOUT_S = 5.0
 
 
 class Daemon:
@@ -48,9 +48,9 @@
         for name, run in self._children().items():
             self._root.start_child(name, run)
         try:
-            await self._first(self._root.run(), self._start())
-            await self._first(self._root.run(), self._stop.wait())
-            await self._first(self._root.run(), self._leave())
+            await self._wait_for_first(self._root.run(), self._start())
+            await self._wait_for_first(self._root.run(), self._stop.wait())
+            await self._wait_for_first(self._root.run(), self._stop_gracefully())
         finally:
             # Before the parts stop that know what became of the requests under way.
             await self.parts.callers.cut_off()
@@ -83,37 +83,37 @@
         A daemon that can't know it would refuse everything; ending tells the platform that starts
         it, which tries again, and its own operators, who see the exit status.
         """
-        self.parts.timers.subscribe("readiness", READINESS_S, self._check_current)
+        self.parts.timers.subscribe("readiness", READINESS_PERIOD_S, self._check_current)
         clock = self.parts.timers.clock
-        deadline = clock.monotonic() + STARTING_S
+        deadline = clock.monotonic() + START_TIMEOUT_S
         while not self._is_current() and not self._stop.is_set():
             if clock.monotonic() > deadline:
                 place = f"platform {self.settings.platform.address}"
                 raise MustardgapError(
                     code=status_codes.PLATFORM_AT_START,
-                    detail=f"no state from log or peers within {STARTING_S:g} s",
+                    detail=f"no state from log or peers within {START_TIMEOUT_S:g} s",
                     place=place,
                 )
-            await clock.sleep(READINESS_S / 5)
-        await self._settle()
+            await clock.sleep(READINESS_PERIOD_S / 5)
+        await self._wait_for_slots()
         self.readiness.clear("daemon")
 
-    async def _settle(self) -> None:
+    async def _wait_for_slots(self) -> None:
         """Wait until the services' slots can be had here, but not for long.
 
         The balancer would otherwise send requests that wait a second for the first lease. With no
         home in reach this entry host must become ready all the same, and refuse what it can't run.
         """
         clock = self.parts.timers.clock
-        deadline = clock.monotonic() + SETTLING_S
-        way = self.parts.slots.sharing
-        while isinstance(way, Broker) and not way.is_settled():
+        deadline = clock.monotonic() + SLOTS_TIMEOUT_S
+        sharing = self.parts.slots.sharing
+        while isinstance(sharing, Broker) and not sharing.is_settled():
             if clock.monotonic() > deadline or self._stop.is_set():
                 return
-            await clock.sleep(READINESS_S / 5)
+            await clock.sleep(READINESS_PERIOD_S / 5)
 
-    async def _first(self, *waits: Awaitable[object]) -> None:
-        tasks = [asyncio.ensure_future(wait) for wait in waits]
+    async def _wait_for_first(self, *awaitables: Awaitable[object]) -> None:
+        tasks = [asyncio.ensure_future(awaitable) for awaitable in awaitables]
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
@@ -122,30 +122,30 @@
             for task in tasks:
                 task.cancel()
 
-    async def _leave(self) -> None:
+    async def _stop_gracefully(self) -> None:
         """Stop gracefully: unready first, then no new work, then end what is in flight.
 
         A step that fails leaves a line, and the next ones are taken. Left out, callers would be
         cut off, ends of claims be missing on the log, and the others send work to a host that is
         gone. Each step looks for itself at what is to be done, so none needs one before it.
         """
-        for name, step in self._leaving_steps().items():
+        for name, step in self._stop_steps().items():
             try:
                 await cancellations.run_part(step)
             except Exception:
                 logging.exception("%s failed as the daemon was stopping; the stop goes on", name)
 
-    def _leaving_steps(self) -> dict[str, Callable[[], Awaitable[object]]]:
+    def _stop_steps(self) -> dict[str, Callable[[], Awaitable[object]]]:
         parts = self.parts
-        part_s = self.settings.stop_timeout_s / 4
+        step_timeout_s = self.settings.stop_timeout_s / 4
         return {
             "readiness.stop": self._stop_readiness,
             "presence.leave": parts.presence.leave,
             "callers.drain": parts.callers.drain,
             "enrolment.leave": partial(
-                parts.enrolment.leave, parts.slots.sharing, timeout_s=part_s
+                parts.enrolment.leave, parts.slots.sharing, timeout_s=step_timeout_s
             ),
-            "keys.flush": partial(parts.keys.flush, timeout_s=part_s),
+            "keys.flush": partial(parts.keys.flush, timeout_s=step_timeout_s),
             "actors.settle": parts.actors.settle,
             "presence.withdraw": parts.presence.withdraw,
         }
@@ -156,8 +156,8 @@
 
     def _handle_signals(self) -> None:
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stop.set)
 
     def _check_current(self) -> None:
         if self._is_current():
--- a/mustardgap/enrolments.py
+++ b/mustardgap/enrolments.py
@@ -14,9 +14,9 @@
 from .streams import Log
 from .timers import Timers
 
-LOOK_S = 0.25
-WRITE_S = 2.0
-COLLECT_S = 0.1
+POLL_PERIOD_S = 0.25
+WRITE_TIMEOUT_S = 2.0
+RETURN_POLL_PERIOD_S = 0.1
 
 
 class Enrolment:
@@ -38,41 +38,41 @@
             members=members, clock=timers.clock, takeover_s=settings.capacity.takeover_s
         )
         self.entries = EntryMembership(state=log.state, members=members, duties=duties)
-        self._stale_s = settings.platform.stale_after_s
+        self._stale_after_s = settings.platform.stale_after_s
 
-    def follow(self, way: SharingPolicy) -> None:
+    def subscribe(self, sharing: SharingPolicy) -> None:
         """Have a way of sharing follow the membership."""
-        if isinstance(way, Broker):
-            self.log.on_fold(lambda record, verdict: self._folded(way, record, verdict))
-            self.log.on_restore(way.restored)
+        if isinstance(sharing, Broker):
+            self.log.on_fold(lambda record, verdict: self._on_fold(sharing, record, verdict))
+            self.log.on_restore(sharing.restored)
 
     async def run(self) -> None:
         """Write the records that are due, until cancelled."""
         while True:
-            if self.log.current and self.log.fresh_s() <= self._stale_s:
-                await self._look()
-            await self.clock.sleep(LOOK_S)
+            if self.log.current and self.log.fresh_s() <= self._stale_after_s:
+                await self._write_due_records()
+            await self.clock.sleep(POLL_PERIOD_S)
 
-    async def leave(self, way: SharingPolicy, *, timeout_s: float) -> None:
+    async def leave(self, sharing: SharingPolicy, *, timeout_s: float) -> None:
         """Collect what is lent and leave; without that the others take this run for gone."""
         body = self.entries.leave()
         if body is None:
             return
-        end = self.clock.monotonic() + timeout_s
-        while isinstance(way, Broker) and not way.is_clear():
-            if self.clock.monotonic() > end:
+        deadline = self.clock.monotonic() + timeout_s
+        while isinstance(sharing, Broker) and not sharing.is_clear():
+            if self.clock.monotonic() > deadline:
                 logging.info("slots that are lent didn't come back in time")
                 return
-            way.stop_lending()
-            await self.clock.sleep(COLLECT_S)
-        if isinstance(way, Broker):
-            way.stop_owning()
+            sharing.stop_lending()
+            await self.clock.sleep(RETURN_POLL_PERIOD_S)
+        if isinstance(sharing, Broker):
+            sharing.stop_owning()
         await self._write(body)
 
-    async def _look(self) -> None:
+    async def _write_due_records(self) -> None:
         own = self.log.state.entries_by_host.get(self.members.me.host)
-        run = (own["state"], own["incarnation"]) if own is not None else ("", 0)
-        if run == ("gone", self.members.me.incarnation):
+        own_run = (own["state"], own["incarnation"]) if own is not None else ("", 0)
+        if own_run == ("gone", self.members.me.incarnation):
             # The others have taken this run's share over; only a new run may go on.
             self.members.renew()
         for body in self.entries.due_records():
@@ -80,9 +80,9 @@
 
     async def _write(self, body: EntryBody) -> None:
         try:
-            await self.log.write("entry", body, timeout_s=WRITE_S)
+            await self.log.write("entry", body, timeout_s=WRITE_TIMEOUT_S)
         except (TimeoutError, MustardgapError) as exc:
             logging.debug("entry record: %s", exc)
 
-    def _folded(self, way: Broker, record: LogRecord, verdict: Verdict) -> None:
-        way.folded()
+    def _on_fold(self, sharing: Broker, record: LogRecord, verdict: Verdict) -> None:
+        sharing.folded()
--- a/mustardgap/executors.py
+++ b/mustardgap/executors.py
@@ -149,7 +149,7 @@
     def _process_pause_s(self, took_s: float) -> float:
         if self.timers is None:
             return 0.0
-        return self.timers.held_up_s(self.clock.monotonic() - took_s)
+        return self.timers.process_pause_s(self.clock.monotonic() - took_s)
 
     def begin(self, executor: str, *, idempotent: bool) -> bool:
         """Check whether a request that holds a slot of an executor may be sent to it.
--- a/mustardgap/operators.py
+++ b/mustardgap/operators.py
@@ -7,7 +7,7 @@
 from tornado.web import Application
 
 from . import operator_changes, operator_steps, operator_views
-from .certificates import CHECK_S, Certificates
+from .certificates import RELOAD_PERIOD_S, Certificates
 from .operator_handlers import JsonHandler, MissingHandler
 from .readiness import Readiness
 from .servers import BoundedServer, bind
@@ -88,7 +88,7 @@
         server = self.listen()
         try:
             while True:
-                await asyncio.sleep(CHECK_S)
+                await asyncio.sleep(RELOAD_PERIOD_S)
                 if self.certificates:
                     self.certificates.reload()
         finally:
--- a/mustardgap/parts.py
+++ b/mustardgap/parts.py
@@ -149,7 +149,7 @@
         self.enrolment = Enrolment(
             log=self.log, members=self.members, settings=self.settings, timers=self.timers
         )
-        self.enrolment.follow(self.slots.sharing)
+        self.enrolment.subscribe(self.slots.sharing)
         self.keys = Keys(
             settings=self.settings,
             platform=self.platform,
--- a/mustardgap/registrars.py
+++ b/mustardgap/registrars.py
@@ -10,11 +10,11 @@
 from .outcomes import Rejected
 from .placements import PLAN_REASON_PREFIX
 
-KEY = "registrar"
-BATCH = 200
+DUTY_KEY = "registrar"
+MAX_BATCH_SIZE = 200
 # A worker whose pool isn't declared yet, or is full, is tried again after this long.
-RETRY_S = 10.0
-MAY_FAIL: frozenset[Phase] = frozenset({"in_service", "draining", "drained"})
+RETRY_DELAY_S = 10.0
+FAILABLE_PHASES: frozenset[Phase] = frozenset({"in_service", "draining", "drained"})
 FIRST_PHASE_BY_STATE: dict[str, Phase] = {"up": "in_service", "drained": "drained"}
 # Nobody has asked on the log to keep a new worker out. One that is drained would look like a host
 # that an operator has drained, and be left out for good; with a reason of the planner's it is free.
@@ -63,28 +63,30 @@
         now = self.operations.timers.clock.monotonic()
         ready = [name for name in sorted(self._new) if self._may_register(name, now)]
         limit_s = self.operations.settings.capacity.host_failed_s
-        lost = sorted(n for n, since in self._down_since.items() if now - since >= limit_s)
-        names = tuple((lost + ready)[:BATCH])
+        failed = sorted(n for n, since in self._down_since.items() if now - since >= limit_s)
+        names = tuple((failed + ready)[:MAX_BATCH_SIZE])
         if not names:
-            self.duties.drop(KEY)
+            self.duties.drop(DUTY_KEY)
             return []
-        if not self.duties.is_due(KEY, names):
+        if not self.duties.is_due(DUTY_KEY, names):
             return []
-        bodies = [self._failed(name) for name in lost] + [self._registered(n) for n in ready]
-        return [body for body in bodies if body is not None][:BATCH]
+        bodies = [self._make_failure_record(name) for name in failed] + [
+            self._make_registration_record(n) for n in ready
+        ]
+        return [body for body in bodies if body is not None][:MAX_BATCH_SIZE]
 
     async def act(self, bodies: list[HostBody]) -> None:
         """Write records together."""
-        self.duties.note_attempt(KEY)
+        self.duties.note_attempt(DUTY_KEY)
         ticket = self.operations.issue_ticket()
         verdicts = await asyncio.gather(
             *(self.operations.write(ticket, "host", body) for body in bodies)
         )
         now = self.operations.timers.clock.monotonic()
         for body, verdict in zip(bodies, verdicts, strict=True):
-            refused = isinstance(verdict, Rejected) and verdict.code != status_codes.STALE_BASE
-            if refused:
-                self._not_before[body["host"]] = now + RETRY_S
+            rejected = isinstance(verdict, Rejected) and verdict.code != status_codes.STALE_BASE
+            if rejected:
+                self._not_before[body["host"]] = now + RETRY_DELAY_S
             else:
                 self._not_before.pop(body["host"], None)
         self.look_at({body["host"] for body in bodies})
@@ -96,7 +98,7 @@
         declared = self.operations.log.state.declared("pool")
         return bool(declared) and self._not_before.get(name, now) <= now
 
-    def _registered(self, name: str) -> HostBody | None:
+    def _make_registration_record(self, name: str) -> HostBody | None:
         worker = self.operations.workers.by_id.get(name)
         phase = None if worker is None else FIRST_PHASE_BY_STATE.get(worker["state"])
         if worker is None or phase is None:
@@ -116,7 +118,7 @@
             ),
         )
 
-    def _failed(self, name: str) -> HostBody | None:
+    def _make_failure_record(self, name: str) -> HostBody | None:
         host = self.operations.log.state.hosts_by_name.get(name)
         if host is None:
             return None
@@ -125,4 +127,4 @@
 
 
 def _is_down(host: HostState, worker: WorkerInfo | None) -> bool:
-    return host["phase"] in MAY_FAIL and (worker is None or worker["state"] == "down")
+    return host["phase"] in FAILABLE_PHASES and (worker is None or worker["state"] == "down")
--- a/mustardgap/resolvers.py
+++ b/mustardgap/resolvers.py
@@ -14,8 +14,8 @@
         self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
     ) -> list[tuple[int, Any]]:
         """Make the address of an IP number and port."""
-        kind = socket.AF_INET6 if ":" in host else socket.AF_INET
-        return [(kind, (host, port))]
+        address_family = socket.AF_INET6 if ":" in host else socket.AF_INET
+        return [(address_family, (host, port))]
 
 
 class NumericFirstResolver(DefaultLoopResolver):
--- a/mustardgap/servers.py
+++ b/mustardgap/servers.py
@@ -40,11 +40,11 @@
         super().initialize(application, ssl_options=context, **kwargs)
         self.name = name
         self.max_connections = max_connections
-        self._malformed = _head(status_codes.BAD_REQUEST)
-        self._too_large = _head(status_codes.TOO_LARGE)
-        self._too_many = _head(status_codes.OVER_BUDGET, "too many connections")
+        self._malformed_response = _make_refusal(status_codes.BAD_REQUEST)
+        self._too_large_response = _make_refusal(status_codes.TOO_LARGE)
+        self._too_many_response = _make_refusal(status_codes.OVER_BUDGET, "too many connections")
         if certificates:
-            certificates.on_change(self._use)
+            certificates.on_change(self._on_certificates_changed)
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
         """Serve one connection, or refuse it when there are too many."""
@@ -52,33 +52,33 @@
             # Without a bound a flood of connections takes memory and descriptors until the
             # process can't accept or connect any more; a refused one costs a single write.
             metrics.refused_connections.add(1, {"port": self.name})
-            stream.write(self._too_many).add_done_callback(lambda _: stream.close())
+            stream.write(self._too_many_response).add_done_callback(lambda _: stream.close())
             return
-        self._number_refusals(stream)
+        self._add_result_codes(stream)
         super().handle_stream(stream, address)
 
-    def _use(self, certificates: Certificates) -> None:
+    def _on_certificates_changed(self, certificates: Certificates) -> None:
         self.ssl_options = certificates.server_context()
 
-    def _number_refusals(self, stream: IOStream) -> None:
+    def _add_result_codes(self, stream: IOStream) -> None:
         # Tornado refuses what isn't HTTP with a bare 400 and closes oversized heads without a
         # word. Both leave the sender without a result code, so they are replaced on the stream.
         write, close = stream.write, stream.close
 
-        def numbered_write(data: bytes | memoryview) -> Any:
+        def write_with_code(data: bytes | memoryview) -> Any:
             if data == _TORNADO_REFUSAL:
                 metrics.malformed_requests.add(1, {"port": self.name})
-                data = self._malformed
+                data = self._malformed_response
             return write(data)
 
-        def numbered_close(exc_info: Any = False) -> None:
+        def close_with_code(exc_info: Any = False) -> None:
             if isinstance(exc_info, UnsatisfiableReadError) and not stream.closed():
                 metrics.malformed_requests.add(1, {"port": self.name})
-                _send_last(stream.socket, self._too_large)
+                _send_and_shut_down(stream.socket, self._too_large_response)
             close(exc_info)
 
-        stream.write = numbered_write  # type: ignore[method-assign]
-        stream.close = numbered_close  # type: ignore[method-assign]
+        stream.write = write_with_code  # type: ignore[method-assign]
+        stream.close = close_with_code  # type: ignore[method-assign]
 
 
 def bind(server: BoundedServer, port: int, address: str) -> int:
@@ -103,7 +103,7 @@
     return bound
 
 
-def _head(code: Code, detail: str = "") -> bytes:
+def _make_refusal(code: Code, detail: str = "") -> bytes:
     resp = answer(NotRun(code=code, detail=detail), request_id="")
     lines = [f"HTTP/1.1 {resp.status} {code.name}"]
     lines += [f"{name}: {value}" for name, value in resp.headers if value]
@@ -111,7 +111,7 @@
     return "\r\n".join([*lines, "", ""]).encode() + resp.body
 
 
-def _send_last(sock: socket.socket, data: bytes) -> None:
+def _send_and_shut_down(sock: socket.socket, data: bytes) -> None:
     with suppress(OSError):
         sock.send(data)
         sock.shutdown(socket.SHUT_WR)
--- a/mustardgap/supervisors.py
+++ b/mustardgap/supervisors.py
@@ -11,7 +11,7 @@
 from .exceptions import ChildFailed, MustardgapError
 
 Child = Callable[[], Awaitable[None]]
-FATAL = frozenset({status_codes.ADDRESS_IN_USE, status_codes.TLS_INVALID})
+FATAL_CODES = frozenset({status_codes.ADDRESS_IN_USE, status_codes.TLS_INVALID})
 
 
 class Supervisor:
@@ -85,8 +85,8 @@
                 logging.info("%s/%s has returned", self.name, name)
                 return
             except Exception as exc:
-                if isinstance(exc, MustardgapError) and exc.code in FATAL:
-                    self._give_up(name, exc)
+                if isinstance(exc, MustardgapError) and exc.code in FATAL_CODES:
+                    self._fail_with(name, exc)
                     return
                 now = time.monotonic()
                 failures.append(now)
@@ -95,12 +95,12 @@
                 logging.exception("%s/%s failed (%d)", self.name, name, len(failures))
                 if len(failures) > self.max_restarts:
                     detail = f"{type(exc).__name__}: {exc}"
-                    self._give_up(name, ChildFailed(detail=detail, place=f"{self.name}/{name}"))
+                    self._fail_with(name, ChildFailed(detail=detail, place=f"{self.name}/{name}"))
                     return
             self.restarts += 1
             await asyncio.sleep(self.backoff_s * min(16, 2 ** (len(failures) - 1)))
 
-    def _give_up(self, name: str, exc: MustardgapError) -> None:
+    def _fail_with(self, name: str, exc: MustardgapError) -> None:
         self._tasks_by_name.pop(name, None)
         if not self._failed.done():
             self._failed.set_exception(exc)
--- a/mustardgap/timers.py
+++ b/mustardgap/timers.py
@@ -14,15 +14,15 @@
 Callback = Callable[[], Awaitable[None] | None]
 
 # Later than this a tick tells of a hold-up, not of the loop's other work; a tenth of the period.
-MIN_HELD_UP_S = 0.01
+MIN_PROCESS_PAUSE_S = 0.01
 # Enough for the longest wait that is judged by them, 15 s at ten ticks a second.
-HOLD_UPS_KEPT = 150
+MAX_PROCESS_PAUSES = 150
 
 
-class HoldUp(NamedTuple):
+class ProcessPause(NamedTuple):
     """A time in which this process didn't run: ``lost_s`` seconds, up to ``ended``."""
 
-    ended: float
+    ended_at: float
     lost_s: float
 
 
@@ -62,8 +62,8 @@
         self._tasks_by_name: dict[str, asyncio.Task[None]] = {}
         self._gap_callbacks: list[Callable[[float], None]] = []
         self._last_tick = self.clock.monotonic()
-        self._due = float("inf")
-        self._hold_ups: deque[HoldUp] = deque(maxlen=HOLD_UPS_KEPT)
+        self._next_tick_at = float("inf")
+        self._process_pauses: deque[ProcessPause] = deque(maxlen=MAX_PROCESS_PAUSES)
 
     def subscribe(self, name: str, period_s: float, callback: Callback) -> Callable[[], None]:
         """Call back every ``period_s`` seconds until the returned function is called.
@@ -93,9 +93,9 @@
         """Watch for gaps until cancelled."""
         self._last_tick = self.clock.monotonic()
         while True:
-            self._due = self.clock.monotonic() + self.TICK_S
+            self._next_tick_at = self.clock.monotonic() + self.TICK_S
             await self.clock.sleep(self.TICK_S)
-            self._note_hold_up()
+            self._record_process_pause()
             self.check_gap()
 
     def check_gap(self) -> float:
@@ -112,7 +112,7 @@
             callback(lost)
         return lost
 
-    def held_up_s(self, since: float) -> float:
+    def process_pause_s(self, since: float) -> float:
         """Tell for how long this process didn't run since a moment.
 
         A process that is stopped, or waits for a processor, finds that its waits are over when it
@@ -122,17 +122,17 @@
         :return: seconds, a hold-up that no tick has noted yet included.
         """
         now = self.clock.monotonic()
-        pending = HoldUp(now, max(0.0, now - self._due))
+        pending = ProcessPause(now, max(0.0, now - self._next_tick_at))
         return sum(
-            min(hold_up.lost_s, hold_up.ended - since)
-            for hold_up in (*self._hold_ups, pending)
-            if hold_up.ended > since
+            min(pause.lost_s, pause.ended_at - since)
+            for pause in (*self._process_pauses, pending)
+            if pause.ended_at > since
         )
 
-    def _note_hold_up(self) -> None:
+    def _record_process_pause(self) -> None:
         now = self.clock.monotonic()
-        if now - self._due >= MIN_HELD_UP_S:
-            self._hold_ups.append(HoldUp(now, now - self._due))
+        if now - self._next_tick_at >= MIN_PROCESS_PAUSE_S:
+            self._process_pauses.append(ProcessPause(now, now - self._next_tick_at))
 
     def close(self) -> None:
         """End all subscriptions."""
