--- a/features/steps/certificates_steps.py
+++ b/features/steps/certificates_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the keys of the peers' streams."""
+"""Steps for the certificates of the peers' streams."""
 
 import asyncio
 import threading
@@ -16,7 +16,7 @@
 
 
 def issue_certificate(authority, folder, trusted=None):
-    """Issue a certificate and write its files."""
+    """Issue a certificate, write its files and return their contents."""
     folder.mkdir(exist_ok=True)
     issued = authority.issue_cert("127.0.0.1")
     pems = {
@@ -44,7 +44,7 @@
 
 
 async def can_open_stream(context, folder):
-    """Whether a stream can be opened with a folder's keys, and carries data."""
+    """Return whether a stream opens with a folder's certificate and echoes data."""
     async with channels.open_channel(context.address, settings_of(folder)) as channel:
         call = channel.stream_stream(f"/{channels.SERVICE}/Echo")(wait_for_ready=False)
         try:
@@ -83,13 +83,13 @@
     )
 
 
-@then("certificates of the authority open a stream, and those of another one don't")
+@then("certificates of the authority open a stream, and those of another authority don't")
 def check_first(context):
     check_stream(context, context.authority, context.authority, True)
     check_stream(context, trustme.CA(), context.authority, False)
 
 
-@when("certificates are renewed under a new authority, but for the key")
+@when("certificates are renewed under a new authority, except for the key")
 def renew_half(context):
     context.new_authority = trustme.CA()
     old_key = (context.keys / "key.pem").read_bytes()
@@ -107,7 +107,7 @@
     write(context.keys, context.pems, ("key",))
 
 
-@then("certificates of the new authority open a stream, and those of the old one don't")
+@then("certificates of the new authority open a stream, and those of the old authority don't")
 def check_renewed(context):
     check_stream(context, context.new_authority, context.new_authority, True)
     check_stream(context, context.authority, context.new_authority, False)
--- a/features/steps/supervisors_logs_steps.py
+++ b/features/steps/supervisors_logs_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the groups of tasks that follow a log, of which one is cancelled."""
+"""Steps for task groups that follow a log, in which one task is cancelled."""
 
 import asyncio
 from types import SimpleNamespace
@@ -25,7 +25,7 @@
 
 
 class EmptyPlatform:
-    """A platform whose log shows nothing."""
+    """A platform whose log is always empty."""
 
     async def read(self, stream, start, *, limit=500, wait_s=0.0):
         await asyncio.sleep(wait_s + 0.01)
@@ -36,7 +36,7 @@
         return 0
 
 
-@given("a supervisor with {name} on a platform of which one {call} is cancelled")
+@given("a supervisor with {name} on a platform where one {call} is cancelled")
 def a_log(context, name, call):
     context.name = name
     context.platform = EndedOnce(EmptyPlatform(), call)
@@ -66,12 +66,12 @@
     try:
         await log.write("config", change("t1"), timeout_s=SETTLE_WAIT_S)
     except MustardgapError:
-        # The platform's log shows nothing, so nobody hears what became of the change.
+        # The platform's log is always empty, so the outcome of the change stays unknown.
         return
-    raise AssertionError("a change was folded that isn't on the log")
+    raise AssertionError("a change that isn't on the log was folded")
 
 
-@when("some time goes by, in which a change is written to the state's log")
+@when("some time passes, in which a change is written to the state's log")
 def time_goes_by(context):
     async def run_scenario():
         supervisor = context.supervisor = Supervisor(name="daemon")
@@ -92,6 +92,6 @@
 
 @then("the platform was called again after the call that was cancelled")
 def called_again(context):
-    assert context.platform.count == 1, "nothing was cancelled"
+    assert context.platform.count == 1, "no call was cancelled"
     assert context.platform.calls > 1, context.platform.calls
-    assert context.children, "nothing follows the log any more"
+    assert context.children, "no part follows the log any longer"
--- a/features/steps/supervisors_steps.py
+++ b/features/steps/supervisors_steps.py
@@ -1,4 +1,4 @@
-"""Steps of parts that end by a cancellation nobody asked for."""
+"""Steps for parts that end by a stray cancellation."""
 
 import asyncio
 from unittest import mock
@@ -21,7 +21,7 @@
 
 
 class Child:
-    """A part that ends in the way that its words tell."""
+    """A part that ends as described by ``behavior``."""
 
     def __init__(self, behavior):
         self.behavior = behavior
@@ -49,7 +49,7 @@
     context.child = Child(behavior)
 
 
-@when("the supervisor has had time to start it again")
+@when("the supervisor has had time to restart it")
 def time_to_start(context):
     async def run_scenario():
         supervisor = context.supervisor = supervisors.Supervisor(name="daemon")
@@ -76,13 +76,13 @@
     assert context.children == runs, context.children
 
 
-@then("the supervisor counts {restarts:d} restarts and {lines:d} lines of its failures")
+@then("the supervisor counts {restarts:d} restarts and {lines:d} logged failures")
 def counted(context, restarts, lines):
     seen = context.supervisor.restarts, context.lines
     assert seen == (restarts, lines), seen
 
 
-@then("the supervisor ends and names the child")
+@then("the supervisor ends with an error that names the child")
 def names_the_child(context):
     assert isinstance(context.ended_by, ChildFailed), context.ended_by
     assert "daemon/part" in str(context.ended_by), context.ended_by
@@ -93,7 +93,7 @@
     context.behavior = behavior
 
 
-@when("ten periods of the timer have gone by")
+@when("ten periods of the timer have passed")
 def ten_periods(context):
     context.calls = 0
 
@@ -129,6 +129,6 @@
     assert context.calls == times, context.calls
 
 
-@then("the timer has left {lines:d} lines")
+@then("the timer has logged {lines:d} failures")
 def left_lines(context, lines):
     assert context.lines == lines, context.lines
--- a/features/support/tls.py
+++ b/features/support/tls.py
@@ -1,4 +1,4 @@
-"""Keys for tests of TLS, and a server that goes away after the handshake."""
+"""Certificates for tests of TLS, and a server that disconnects after the handshake."""
 
 import socket
 import ssl
@@ -14,7 +14,7 @@
 
 
 def write_keys(authority, folder, name="127.0.0.1", parts=("certificate", "key", "authority")):
-    """Issue a certificate and write its files."""
+    """Issue a certificate, write its files and return its settings and contents."""
     folder.mkdir(exist_ok=True)
     issued = authority.issue_cert(name)
     pems = {
@@ -29,12 +29,12 @@
 
 
 class DisconnectingServer:
-    """A TLS server that answers a few requests and leaves the next one's connection.
+    """A TLS server that answers a few requests and disconnects on the next one.
 
     :param authority: issues the server's certificate.
-    :param answered: requests that it answers before it leaves.
+    :param answered: number of requests that it answers before it disconnects.
     :param reads: whether it reads the request that it doesn't answer.
-    :param resets: whether it leaves by a reset, not by an end of the stream.
+    :param resets: whether it disconnects by a reset rather than an end of the stream.
     """
 
     def __init__(self, *, authority: trustme.CA, answered: int, reads: bool, resets: bool):
--- a/mustardgap/certificates.py
+++ b/mustardgap/certificates.py
@@ -1,4 +1,4 @@
-"""TLS contexts from key files that are read again when the files change."""
+"""TLS contexts from PEM files, which are reloaded when they change."""
 
 import os
 import ssl
@@ -15,7 +15,7 @@
 
 
 class PemFiles(NamedTuple):
-    """The contents of the files of one set of keys, PEM."""
+    """The PEM contents of a certificate, its key and the authority's certificate."""
 
     certificate: bytes
     key: bytes
@@ -23,9 +23,9 @@
 
 
 class Certificates:
-    """The keys of one port; both ends must show a certificate that the authority signed.
+    """The certificate and key of a port; both ends need a certificate that the authority signed.
 
-    :param settings: where the files are.
+    :param settings: the paths of the files.
     """
 
     def __init__(self, *, settings: TlsSettings) -> None:
@@ -35,24 +35,24 @@
         self._make_context(ssl.PROTOCOL_TLS_SERVER)
 
     def server_context(self) -> ssl.SSLContext:
-        """A context for listening; it asks the other end for a certificate."""
+        """Return a context for a server; it requires a client certificate."""
         return self._make_context(ssl.PROTOCOL_TLS_SERVER)
 
     def client_context(self) -> ssl.SSLContext:
-        """A context for connecting; names aren't checked, since hosts are known by IP number."""
+        """Return a context for a client; names aren't checked, as hosts are known by IP address."""
         return self._make_context(ssl.PROTOCOL_TLS_CLIENT)
 
     def on_change(self, callback: Callable[["Certificates"], None]) -> None:
-        """Call back when the files have changed and can be used."""
+        """Call back when the files have changed and are usable."""
         self._callbacks.append(callback)
 
     def reload(self) -> bool:
-        """Read the files again.
+        """Reload the files if they have changed.
 
-        Files that don't fit together are left aside and the keys in use stay: a certificate and
-        its key are two files, so a reader can meet one new and one old.
+        If the files don't match, the current ones stay in use: a certificate and its key are two
+        files, so one may be read new and the other old.
 
-        :return: whether the keys changed.
+        :return: whether new files are in use.
         """
         previous = self.files
         try:
@@ -61,10 +61,15 @@
                 return False
             self._make_context(ssl.PROTOCOL_TLS_SERVER)
         except SettingsError as exc:
-            logging.log_every_n_seconds(logging.WARNING, "keys kept reason=%s", 60, exc)
+            logging.log_every_n_seconds(
+                logging.WARNING,
+                "new certificate files are unusable, the current ones stay in use reason=%s",
+                60,
+                exc,
+            )
             return False
         self.files = files
-        logging.info("keys changed file=%s", self.settings.certificate)
+        logging.info("certificate files reloaded file=%s", self.settings.certificate)
         for callback in self._callbacks:
             callback(self)
         return True
--- a/mustardgap/daemons.py
+++ b/mustardgap/daemons.py
@@ -1,4 +1,4 @@
-"""The daemon: builds the parts of an entry host, runs them as a supervisor tree, stops them."""
+"""The daemon: builds the parts of an entry host, runs them under a supervisor and stops them."""
 
 import asyncio
 import signal
@@ -25,9 +25,9 @@
 
 
 class Daemon:
-    """One entry host's process.
+    """The process of one entry host.
 
-    :param settings: the checked settings.
+    :param settings: the validated settings.
     """
 
     def __init__(self, *, settings: Settings) -> None:
@@ -39,9 +39,9 @@
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until told to stop, then stop gracefully.
+        """Serve until a signal requests a stop, then stop gracefully.
 
-        :raises MustardgapError: MG2003 to MG2006, the daemon can't start or can't go on.
+        :raises MustardgapError: MG2003 to MG2006, the daemon can't start or can't continue.
         """
         self._handle_signals()
         self.parts.open()
@@ -52,7 +52,7 @@
             await self._wait_for_first(self._root.run(), self._stop.wait())
             await self._wait_for_first(self._root.run(), self._stop_gracefully())
         finally:
-            # Before the parts stop that know what became of the requests under way.
+            # While the parts still run that know the outcomes of the requests in flight.
             await self.parts.callers.cut_off()
             await self._root.stop()
             self.parts.close()
@@ -80,8 +80,10 @@
     async def _start(self) -> None:
         """Wait until the state is known, from the log or from a peer.
 
-        A daemon that can't know it would refuse everything; ending tells the platform that starts
-        it, which tries again, and its own operators, who see the exit status.
+        Without the state a daemon would refuse everything. It exits instead, so that the platform
+        starts it again and operators see the exit status.
+
+        :raises MustardgapError: the state isn't known within ``START_TIMEOUT_S``.
         """
         self.parts.timers.subscribe("readiness", READINESS_PERIOD_S, self._check_current)
         clock = self.parts.timers.clock
@@ -99,10 +101,10 @@
         self.readiness.clear("daemon")
 
     async def _wait_for_slots(self) -> None:
-        """Wait until the services' slots can be had here, but not for long.
+        """Wait for a limited time until slots of the services can be acquired here.
 
-        The balancer would otherwise send requests that wait a second for the first lease. With no
-        home in reach this entry host must become ready all the same, and refuse what it can't run.
+        The balancer would otherwise send requests that wait a second for the first lease. If no
+        owner is reachable, this entry host must still become ready and refuse what it can't run.
         """
         clock = self.parts.timers.clock
         deadline = clock.monotonic() + SLOTS_TIMEOUT_S
@@ -123,17 +125,19 @@
                 task.cancel()
 
     async def _stop_gracefully(self) -> None:
-        """Stop gracefully: unready first, then no new work, then end what is in flight.
+        """Stop gracefully: become unready, take no new work, then finish what is in flight.
 
-        A step that fails leaves a line, and the next ones are taken. Left out, callers would be
-        cut off, ends of claims be missing on the log, and the others send work to a host that is
-        gone. Each step looks for itself at what is to be done, so none needs one before it.
+        A step that fails is logged, and the next ones still run. Without them, callers would be
+        cut off, ends of claims be missing on the log, and peers send work to a host that is gone.
+        Each step checks for itself what there is to do, so none depends on an earlier one.
         """
         for name, step in self._stop_steps().items():
             try:
                 await cancellations.run_part(step)
             except Exception:
-                logging.exception("%s failed as the daemon was stopping; the stop goes on", name)
+                logging.exception(
+                    "%s failed while the daemon was stopping; the next steps still run", name
+                )
 
     def _stop_steps(self) -> dict[str, Callable[[], Awaitable[object]]]:
         parts = self.parts
--- a/mustardgap/enrolments.py
+++ b/mustardgap/enrolments.py
@@ -1,4 +1,4 @@
-"""Writing the membership of entry hosts to the log: join, leave, and who is gone."""
+"""Writes the membership of entry hosts to the log: joined, left and gone hosts."""
 
 from absl import logging
 
@@ -20,9 +20,9 @@
 
 
 class Enrolment:
-    """Keeps this entry host among the owners of slots, and the gone out of them.
+    """Keeps this entry host among the owners of slots, and removes hosts that are gone.
 
-    While the log is out of reach nothing changes: members keep their shares.
+    While the log is unavailable nothing changes: members keep their shares.
 
     :param log: the state stream.
     :param members: the entry hosts.
@@ -41,7 +41,7 @@
         self._stale_after_s = settings.platform.stale_after_s
 
     def subscribe(self, sharing: SharingPolicy) -> None:
-        """Have a way of sharing follow the membership."""
+        """Subscribe a sharing policy to changes of the membership."""
         if isinstance(sharing, Broker):
             self.log.on_fold(lambda record, verdict: self._on_fold(sharing, record, verdict))
             self.log.on_restore(sharing.restored)
@@ -54,14 +54,18 @@
             await self.clock.sleep(POLL_PERIOD_S)
 
     async def leave(self, sharing: SharingPolicy, *, timeout_s: float) -> None:
-        """Collect what is lent and leave; without that the others take this run for gone."""
+        """Take lent slots back and leave; otherwise the peers will declare this host gone.
+
+        :param sharing: the sharing policy of the slots.
+        :param timeout_s: the longest wait for lent slots, in seconds.
+        """
         body = self.entries.leave()
         if body is None:
             return
         deadline = self.clock.monotonic() + timeout_s
         while isinstance(sharing, Broker) and not sharing.is_clear():
             if self.clock.monotonic() > deadline:
-                logging.info("slots that are lent didn't come back in time")
+                logging.info("lent slots weren't returned in time; no leave record is written")
                 return
             sharing.stop_lending()
             await self.clock.sleep(RETURN_POLL_PERIOD_S)
@@ -73,7 +77,7 @@
         own = self.log.state.entries_by_host.get(self.members.me.host)
         own_run = (own["state"], own["incarnation"]) if own is not None else ("", 0)
         if own_run == ("gone", self.members.me.incarnation):
-            # The others have taken this run's share over; only a new run may go on.
+            # Other hosts have taken over this incarnation's share; only a new one may join.
             self.members.renew()
         for body in self.entries.due_records():
             await self._write(body)
@@ -82,7 +86,7 @@
         try:
             await self.log.write("entry", body, timeout_s=WRITE_TIMEOUT_S)
         except (TimeoutError, MustardgapError) as exc:
-            logging.debug("entry record: %s", exc)
+            logging.debug("entry record not confirmed: %s", exc)
 
     def _on_fold(self, sharing: Broker, record: LogRecord, verdict: Verdict) -> None:
         sharing.folded()
--- a/mustardgap/registrars.py
+++ b/mustardgap/registrars.py
@@ -1,4 +1,4 @@
-"""Brings what the platform shows of workers onto the log: new ones, and those that failed."""
+"""Records changes of the platform's workers on the log: new workers and failed ones."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 
 DUTY_KEY = "registrar"
 MAX_BATCH_SIZE = 200
-# A worker whose pool isn't declared yet, or is full, is tried again after this long.
+# Delay until a worker is tried again whose pool isn't declared yet or is full.
 RETRY_DELAY_S = 10.0
 FAILABLE_PHASES: frozenset[Phase] = frozenset({"in_service", "draining", "drained"})
 FIRST_PHASE_BY_STATE: dict[str, Phase] = {"up": "in_service", "drained": "drained"}
-# Nobody has asked on the log to keep a new worker out. One that is drained would look like a host
-# that an operator has drained, and be left out for good; with a reason of the planner's it is free.
+# No operator asked on the log to keep a new worker out of service. A drained one would look like a
+# host drained by an operator and stay out for good; the planner may use one with its own reason.
 REASON_BY_PHASE: dict[Phase, str] = {
     "in_service": "registered",
     "drained": f"{PLAN_REASON_PREFIX}registered",
@@ -28,7 +28,7 @@
     """Writes host records for workers that are new or were down for too long.
 
     :param operations: writes records.
-    :param duties: says whose turn it is.
+    :param duties: decides which daemon acts.
     """
 
     def __init__(self, *, operations: Operations, duties: Duties) -> None:
@@ -39,7 +39,7 @@
         self._not_before: dict[str, float] = {}
 
     def look_at(self, workers: set[str]) -> None:
-        """Look at these workers, as something has changed there or on the log."""
+        """Update these workers after they or their hosts on the log have changed."""
         now = self.operations.timers.clock.monotonic()
         for name in workers:
             worker = self.operations.workers.by_id.get(name)
@@ -54,12 +54,12 @@
                 self._down_since.pop(name, None)
 
     def look_at_all(self) -> None:
-        """Look at all workers and hosts."""
+        """Update all workers and hosts."""
         known = self.operations.log.state.hosts_by_name.keys()
         self.look_at(known | self.operations.workers.by_id.keys())
 
     def due(self) -> list[HostBody]:
-        """The records that this daemon should write now; a lost rack is one batch."""
+        """Return the records that this daemon should write now; a failed rack is one batch."""
         now = self.operations.timers.clock.monotonic()
         ready = [name for name in sorted(self._new) if self._may_register(name, now)]
         limit_s = self.operations.settings.capacity.host_failed_s
@@ -76,7 +76,7 @@
         return [body for body in bodies if body is not None][:MAX_BATCH_SIZE]
 
     async def act(self, bodies: list[HostBody]) -> None:
-        """Write records together."""
+        """Write a batch of records."""
         self.duties.note_attempt(DUTY_KEY)
         ticket = self.operations.issue_ticket()
         verdicts = await asyncio.gather(
@@ -92,9 +92,9 @@
         self.look_at({body["host"] for body in bodies})
 
     def _may_register(self, name: str, now: float) -> bool:
-        # Before the first pool is declared only spare workers could be taken in. The budgets of the
-        # first declarations would be checked against these few and refused for good, because the
-        # others can't be taken in before their pools are declared.
+        # Before the first pool is declared only spare workers could be registered. The budgets of
+        # the first declarations would be checked against these few and refused for good, because
+        # the others can't be registered before their pools are declared.
         declared = self.operations.log.state.declared("pool")
         return bool(declared) and self._not_before.get(name, now) <= now
 
--- a/mustardgap/resolvers.py
+++ b/mustardgap/resolvers.py
@@ -1,4 +1,4 @@
-"""Turns IP numbers into addresses without asking anyone."""
+"""Tornado resolvers that convert IP addresses without a name lookup."""
 
 import ipaddress
 import socket
@@ -8,27 +8,27 @@
 
 
 class NumericResolver(Resolver):
-    """Takes IP numbers as they are; the default would ask a thread for each connection."""
+    """Converts IP addresses only; the default would use a thread for each connection."""
 
     async def resolve(
         self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
     ) -> list[tuple[int, Any]]:
-        """Make the address of an IP number and port."""
+        """Return the socket address of an IP address and port."""
         address_family = socket.AF_INET6 if ":" in host else socket.AF_INET
         return [(address_family, (host, port))]
 
 
 class NumericFirstResolver(DefaultLoopResolver):
-    """Takes IP numbers as they are, and has other names looked up by a thread."""
+    """Converts IP addresses directly, and resolves host names in a thread."""
 
     def initialize(self) -> None:
-        """Make the resolver for IP numbers."""
+        """Create the resolver of IP addresses."""
         self._numeric = NumericResolver()
 
     async def resolve(
         self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
     ) -> list[tuple[int, Any]]:
-        """Make the address of an IP number or a name, and a port."""
+        """Return the socket addresses of an IP address or host name, and a port."""
         try:
             ipaddress.ip_address(host)
         except ValueError:
--- a/mustardgap/servers.py
+++ b/mustardgap/servers.py
@@ -1,4 +1,4 @@
-"""An HTTP server with bounded connections, numbered refusals and certificates that may change."""
+"""An HTTP server with a connection limit, result codes in refusals and renewable certificates."""
 
 import socket
 from contextlib import suppress
@@ -19,12 +19,12 @@
 
 
 class BoundedServer(HTTPServer):
-    """A server whose memory is bounded by its settings, whatever the other ends send.
+    """A server whose memory is bounded by its settings, whatever clients send.
 
-    :param application: what serves the requests.
+    :param application: the handler of the requests.
     :param name: the port's name in metrics.
-    :param max_connections: more connections than this are closed with a refusal.
-    :param certificates: the keys to use, None for plain HTTP.
+    :param max_connections: connections beyond this number are refused and closed.
+    :param certificates: the certificates and key to use, None for plain HTTP.
     """
 
     def initialize(  # type: ignore[override]
@@ -47,10 +47,10 @@
             certificates.on_change(self._on_certificates_changed)
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
-        """Serve one connection, or refuse it when there are too many."""
+        """Serve a connection, or refuse it if there are too many."""
         if len(self._connections) >= self.max_connections:
-            # Without a bound a flood of connections takes memory and descriptors until the
-            # process can't accept or connect any more; a refused one costs a single write.
+            # Without a limit a flood of connections would exhaust memory and descriptors until the
+            # process can't accept or connect any more. A refusal costs only a single write.
             metrics.refused_connections.add(1, {"port": self.name})
             stream.write(self._too_many_response).add_done_callback(lambda _: stream.close())
             return
@@ -61,8 +61,8 @@
         self.ssl_options = certificates.server_context()
 
     def _add_result_codes(self, stream: IOStream) -> None:
-        # Tornado refuses what isn't HTTP with a bare 400 and closes oversized heads without a
-        # word. Both leave the sender without a result code, so they are replaced on the stream.
+        # Tornado answers what isn't HTTP with a bare 400 and closes the connection on oversized
+        # headers without an answer. Both lack a result code, so they are replaced on the stream.
         write, close = stream.write, stream.close
 
         def write_with_code(data: bytes | memoryview) -> Any:
@@ -84,9 +84,11 @@
 def bind(server: BoundedServer, port: int, address: str) -> int:
     """Listen on an address.
 
+    :param server: the server that accepts the connections.
     :param port: the port, 0 for any free one.
+    :param address: the IP address.
     :return: the port listened on.
-    :raises MustardgapError: MG2003 when it can't be had.
+    :raises MustardgapError: MG2003, the server can't listen on it.
     """
     try:
         sock = socket.create_server((address, port), backlog=1024, reuse_port=False)
@@ -115,6 +117,6 @@
     with suppress(OSError):
         sock.send(data)
         sock.shutdown(socket.SHUT_WR)
-        # Closing with bytes unread makes the kernel send a reset, which can overtake the refusal.
+        # Closing with unread bytes makes the kernel send a reset, which can overtake the refusal.
         while sock.recv(65536):
             pass
--- a/mustardgap/supervisors.py
+++ b/mustardgap/supervisors.py
@@ -1,4 +1,4 @@
-"""A supervisor tree: a child that dies restarts alone, one that keeps dying ends its parent."""
+"""A supervisor: restarts each child that fails, and fails itself if a child keeps failing."""
 
 import asyncio
 import time
@@ -18,9 +18,9 @@
     """Runs children, one task each, and restarts those that fail.
 
     :param name: the name in logs.
-    :param max_restarts: more restarts than this within ``window_s`` end this supervisor.
-    :param window_s: the seconds over which restarts are counted.
-    :param backoff_s: the first wait before a restart; it doubles up to 16 times that.
+    :param max_restarts: a child that fails more often within ``window_s`` ends this supervisor.
+    :param window_s: the seconds over which a child's failures are counted.
+    :param backoff_s: the first delay before a restart, in seconds; it doubles up to 16-fold.
     """
 
     def __init__(
@@ -37,21 +37,22 @@
     def start_child(self, name: str, child: Child) -> asyncio.Task[None]:
         """Run a child until it returns, is stopped, or keeps failing.
 
-        One that ends by the cancellation of something that it awaited has failed. Taken for one
-        that was stopped, it would be missing from a daemon that seems well.
+        A child that ends because something it awaited was cancelled has failed. Treated as
+        stopped, it would be missing from a daemon that seems healthy.
 
         :param name: the child's name, unique under this supervisor.
         :param child: a coroutine function without arguments.
-        :return: the task that watches the child.
+        :return: the task that runs and restarts the child.
+        :raises ValueError: there is a child of this name.
         """
         if name in self._tasks_by_name:
-            raise ValueError(f"{self.name} has a child {name} already")
+            raise ValueError(f"{self.name} already has a child {name}")
         task = asyncio.create_task(self._watch(name, child), name=f"{self.name}/{name}")
         self._tasks_by_name[name] = task
         return task
 
     def children(self) -> list[str]:
-        """The names of the children that run."""
+        """Return the names of the running children."""
         return list(self._tasks_by_name)
 
     async def stop_child(self, name: str) -> None:
@@ -63,7 +64,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
     async def run(self) -> None:
-        """Wait until a child keeps failing, or fails in a way that a restart can't mend.
+        """Wait until a child keeps failing, or fails in a way that a restart can't fix.
 
         :raises ChildFailed: MG2005 with the child's name.
         :raises MustardgapError: MG2003 or MG2006, as the child raised it.
@@ -71,7 +72,7 @@
         await asyncio.shield(self._failed)
 
     async def stop(self) -> None:
-        """Stop all children, the youngest first."""
+        """Stop all children, the last one started first."""
         self._failed.cancel()
         for name in reversed(list(self._tasks_by_name)):
             await self.stop_child(name)
@@ -82,7 +83,7 @@
             try:
                 await cancellations.run_part(child)
                 self._tasks_by_name.pop(name, None)
-                logging.info("%s/%s has returned", self.name, name)
+                logging.info("%s/%s returned", self.name, name)
                 return
             except Exception as exc:
                 if isinstance(exc, MustardgapError) and exc.code in FATAL_CODES:
@@ -92,7 +93,9 @@
                 failures.append(now)
                 while failures and now - failures[0] > self.window_s:
                     failures.popleft()
-                logging.exception("%s/%s failed (%d)", self.name, name, len(failures))
+                logging.exception(
+                    "%s/%s failed (%d recent failures)", self.name, name, len(failures)
+                )
                 if len(failures) > self.max_restarts:
                     detail = f"{type(exc).__name__}: {exc}"
                     self._fail_with(name, ChildFailed(detail=detail, place=f"{self.name}/{name}"))
--- a/mustardgap/timers.py
+++ b/mustardgap/timers.py
@@ -1,4 +1,4 @@
-"""A timer service that the other parts subscribe to, and the clocks they read."""
+"""A timer service, detection of process pauses, and the clocks of the process."""
 
 import asyncio
 import inspect
@@ -13,47 +13,48 @@
 
 Callback = Callable[[], Awaitable[None] | None]
 
-# Later than this a tick tells of a hold-up, not of the loop's other work; a tenth of the period.
+# A tick that is later than this, a tenth of the period, shows a pause of the process rather than
+# other work of the event loop.
 MIN_PROCESS_PAUSE_S = 0.01
-# Enough for the longest wait that is judged by them, 15 s at ten ticks a second.
+# Covers the longest wait whose pauses are queried, 15 s at ten ticks a second.
 MAX_PROCESS_PAUSES = 150
 
 
 class ProcessPause(NamedTuple):
-    """A time in which this process didn't run: ``lost_s`` seconds, up to ``ended``."""
+    """An interval of ``lost_s`` seconds, up to ``ended_at``, in which this process didn't run."""
 
     ended_at: float
     lost_s: float
 
 
 class Clock:
-    """The process's clocks; tests put a fake in its place."""
+    """The process's clocks; tests replace it with a fake."""
 
     def monotonic(self) -> float:
-        """Seconds that only go forward."""
-        # Linux' monotonic clock stands still while a virtual machine is suspended. Leases would
-        # seem to last on, and the host would act on what others hold by then; this clock goes on.
+        """Return seconds that never go back."""
+        # CLOCK_MONOTONIC stops while a virtual machine is suspended. Leases would seem to be valid
+        # for longer, and the host would act on what others hold by then. CLOCK_BOOTTIME goes on.
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
-        """Seconds since the epoch; may jump."""
+        """Return seconds since the epoch; they may jump."""
         return time.time()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for some seconds."""
+        """Wait for a number of seconds."""
         await asyncio.sleep(seconds)
 
 
 class Timers:
-    """Calls subscribers at their period, and tells of gaps in which the process didn't run.
+    """Calls subscribers periodically, and reports gaps in which the process didn't run.
 
     :param clock: the clocks to read.
     :param gap_s: a tick later than this many seconds counts as a gap.
     """
 
-    # A hold-up that begins between two ticks is seen too short, by a tick at most; what is judged
-    # by them waits for 0.3 s and more. A tick takes 0.14 ms of processor time (mean of 2,300 on
-    # a busy machine): ten a second take 0.14 % of a core, where 1.2 % are allowed.
+    # A pause that begins between two ticks is measured too short, by at most one tick; the waits
+    # that it is compared with take at least 0.3 s. A tick takes 0.14 ms of processor time (mean of
+    # 2,300 on a busy machine): ten a second take 0.14 % of a core, where 1.2 % are allowed.
     TICK_S = 0.1
 
     def __init__(self, *, clock: Clock | None = None, gap_s: float = 2.0) -> None:
@@ -66,15 +67,16 @@
         self._process_pauses: deque[ProcessPause] = deque(maxlen=MAX_PROCESS_PAUSES)
 
     def subscribe(self, name: str, period_s: float, callback: Callback) -> Callable[[], None]:
-        """Call back every ``period_s`` seconds until the returned function is called.
+        """Call a function every ``period_s`` seconds until the returned function is called.
 
         :param name: a unique name, for logs.
         :param period_s: seconds between the end of one call and the start of the next.
         :param callback: a function or coroutine function without arguments.
         :return: a function that ends the subscription.
+        :raises ValueError: there is a timer of this name.
         """
         if name in self._tasks_by_name:
-            raise ValueError(f"timer {name} is subscribed already")
+            raise ValueError(f"timer {name} already exists")
         self._tasks_by_name[name] = asyncio.create_task(
             self._run(name, period_s, callback), name=f"timer:{name}"
         )
@@ -83,9 +85,9 @@
     def on_gap(self, callback: Callable[[float], None]) -> None:
         """Call back with the seconds lost when the process finds that it was paused.
 
-        A process that was stopped for longer than its leases would otherwise act on what it no
-        longer holds. Parts that hold leases also compare deadlines before each step, so a late
-        call here can't make them act wrongly.
+        A process paused for longer than its leases last would otherwise act on what it no longer
+        holds. Parts that hold leases also compare deadlines before each step, so that a late call
+        can't make them act wrongly.
         """
         self._gap_callbacks.append(callback)
 
@@ -99,7 +101,7 @@
             self.check_gap()
 
     def check_gap(self) -> float:
-        """Tell subscribers of a gap since the last tick.
+        """Notify subscribers of a gap since the last tick.
 
         :return: the seconds lost, 0 for none.
         """
@@ -113,13 +115,13 @@
         return lost
 
     def process_pause_s(self, since: float) -> float:
-        """Tell for how long this process didn't run since a moment.
+        """Return for how long this process hasn't run since a given time.
 
-        A process that is stopped, or waits for a processor, finds that its waits are over when it
-        runs again, and takes its own pause for the silence of others.
+        When a process that was stopped or waited for a processor runs again, its timeouts have
+        expired, and it would mistake its own pause for others that don't respond.
 
-        :param since: monotonic seconds.
-        :return: seconds, a hold-up that no tick has noted yet included.
+        :param since: monotonic time in seconds.
+        :return: seconds, including a pause that no tick has recorded yet.
         """
         now = self.clock.monotonic()
         pending = ProcessPause(now, max(0.0, now - self._next_tick_at))
@@ -152,10 +154,12 @@
                 if inspect.isawaitable(result):
                     await result
             except asyncio.CancelledError:
-                # Something that the callback awaits may have been closed by another. Taken for the
-                # end of the subscription, heartbeats or views would stop without a line.
+                # Another task may have closed something that the callback awaits. Treated as the
+                # end of the subscription, it would stop heartbeats or polls without a log line.
                 if cancellations.is_own():
                     raise
-                logging.exception("timer %s: a call was cancelled that nobody ended", name)
+                logging.exception(
+                    "timer %s: something that its callback awaited was cancelled", name
+                )
             except Exception:
                 logging.exception("timer %s failed", name)
