--- a/mustardgap/timers.py
+++ b/mustardgap/timers.py
@@ -28,7 +28,7 @@
 
 
 class Clock:
-    """The process's clocks; tests replace it with a fake."""
+    """Reads the clocks of the process; tests replace it with a fake."""
 
     def monotonic(self) -> float:
         """Return seconds that never go back."""
