--- a/mustardgap/certificates.py
+++ b/mustardgap/certificates.py
@@ -1,4 +1,4 @@
-"""TLS contexts from key files that are read again when the files change."""
+"""TLS contexts from PEM files, which are reloaded when they change."""
 
 import os
 import ssl
@@ -11,11 +11,11 @@
 from .exceptions import SettingsError
 from .settings import TlsSettings
 
-CHECK_S = 5.0
+RELOAD_PERIOD_S = 5.0
 
 
-class Files(NamedTuple):
-    """The contents of the files of one set of keys, PEM."""
+class PemFiles(NamedTuple):
+    """The PEM contents of a certificate, its key and the authority's certificate."""
 
     certificate: bytes
     key: bytes
@@ -23,60 +23,65 @@
 
 
 class Certificates:
-    """The keys of one port; both ends must show a certificate that the authority signed.
+    """The certificate and key of a port; both ends need a certificate that the authority signed.
 
-    :param settings: where the files are.
+    :param settings: the paths of the files.
     """
 
     def __init__(self, *, settings: TlsSettings) -> None:
         self.settings = settings
         self._callbacks: list[Callable[[Certificates], None]] = []
         self.files = self._read()
-        self._context(ssl.PROTOCOL_TLS_SERVER)
+        self._make_context(ssl.PROTOCOL_TLS_SERVER)
 
     def server_context(self) -> ssl.SSLContext:
-        """A context for listening; it asks the other end for a certificate."""
-        return self._context(ssl.PROTOCOL_TLS_SERVER)
+        """Return a context for a server; it requires a client certificate."""
+        return self._make_context(ssl.PROTOCOL_TLS_SERVER)
 
     def client_context(self) -> ssl.SSLContext:
-        """A context for connecting; names aren't checked, since hosts are known by IP number."""
-        return self._context(ssl.PROTOCOL_TLS_CLIENT)
+        """Return a context for a client; names aren't checked, as hosts are known by IP address."""
+        return self._make_context(ssl.PROTOCOL_TLS_CLIENT)
 
     def on_change(self, callback: Callable[["Certificates"], None]) -> None:
-        """Call back when the files have changed and can be used."""
+        """Call back when the files have changed and are usable."""
         self._callbacks.append(callback)
 
     def reload(self) -> bool:
-        """Read the files again.
+        """Reload the files if they have changed.
 
-        Files that don't fit together are left aside and the keys in use stay: a certificate and
-        its key are two files, so a reader can meet one new and one old.
+        If the files don't match, the current ones stay in use: a certificate and its key are two
+        files, so one may be read new and the other old.
 
-        :return: whether the keys changed.
+        :return: whether new files are in use.
         """
-        before = self.files
+        previous = self.files
         try:
             files = self._read()
-            if files == before:
+            if files == previous:
                 return False
-            self._context(ssl.PROTOCOL_TLS_SERVER)
+            self._make_context(ssl.PROTOCOL_TLS_SERVER)
         except SettingsError as exc:
-            logging.log_every_n_seconds(logging.WARNING, "keys kept reason=%s", 60, exc)
+            logging.log_every_n_seconds(
+                logging.WARNING,
+                "new certificate files are unusable, the current ones stay in use reason=%s",
+                60,
+                exc,
+            )
             return False
         self.files = files
-        logging.info("keys changed file=%s", self.settings.certificate)
+        logging.info("certificate files reloaded file=%s", self.settings.certificate)
         for callback in self._callbacks:
             callback(self)
         return True
 
-    def _read(self) -> Files:
-        return Files(
+    def _read(self) -> PemFiles:
+        return PemFiles(
             _read_file(self.settings.certificate, "certificate"),
             _read_file(self.settings.key, "key"),
             _read_file(self.settings.authority, "authority"),
         )
 
-    def _context(self, protocol: int) -> ssl.SSLContext:
+    def _make_context(self, protocol: int) -> ssl.SSLContext:
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         context.check_hostname = False
--- a/mustardgap/enrolments.py
+++ b/mustardgap/enrolments.py
@@ -1,4 +1,4 @@
-"""Writing the membership of entry hosts to the log: join, leave, and who is gone."""
+"""Writes the membership of entry hosts to the log: joined, left and gone hosts."""
 
 from absl import logging
 
@@ -14,15 +14,15 @@
 from .streams import Log
 from .timers import Timers
 
-LOOK_S = 0.25
-WRITE_S = 2.0
-COLLECT_S = 0.1
+POLL_PERIOD_S = 0.25
+WRITE_TIMEOUT_S = 2.0
+RETURN_POLL_PERIOD_S = 0.1
 
 
 class Enrolment:
-    """Keeps this entry host among the owners of slots, and the gone out of them.
+    """Keeps this entry host among the owners of slots, and removes hosts that are gone.
 
-    While the log is out of reach nothing changes: members keep their shares.
+    While the log is unavailable nothing changes: members keep their shares.
 
     :param log: the state stream.
     :param members: the entry hosts.
@@ -38,51 +38,55 @@
             members=members, clock=timers.clock, takeover_s=settings.capacity.takeover_s
         )
         self.entries = EntryMembership(state=log.state, members=members, duties=duties)
-        self._stale_s = settings.platform.stale_after_s
+        self._stale_after_s = settings.platform.stale_after_s
 
-    def follow(self, way: SharingPolicy) -> None:
-        """Have a way of sharing follow the membership."""
-        if isinstance(way, Broker):
-            self.log.on_fold(lambda record, verdict: self._folded(way, record, verdict))
-            self.log.on_restore(way.restored)
+    def subscribe(self, sharing: SharingPolicy) -> None:
+        """Subscribe a sharing policy to changes of the membership."""
+        if isinstance(sharing, Broker):
+            self.log.on_fold(lambda record, verdict: self._on_fold(sharing, record, verdict))
+            self.log.on_restore(sharing.restored)
 
     async def run(self) -> None:
         """Write the records that are due, until cancelled."""
         while True:
-            if self.log.current and self.log.fresh_s() <= self._stale_s:
-                await self._look()
-            await self.clock.sleep(LOOK_S)
+            if self.log.current and self.log.fresh_s() <= self._stale_after_s:
+                await self._write_due_records()
+            await self.clock.sleep(POLL_PERIOD_S)
 
-    async def leave(self, way: SharingPolicy, *, timeout_s: float) -> None:
-        """Collect what is lent and leave; without that the others take this run for gone."""
+    async def leave(self, sharing: SharingPolicy, *, timeout_s: float) -> None:
+        """Take lent slots back and leave; otherwise the peers will declare this host gone.
+
+        :param sharing: the sharing policy of the slots.
+        :param timeout_s: the longest wait for lent slots, in seconds.
+        """
         body = self.entries.leave()
         if body is None:
             return
-        end = self.clock.monotonic() + timeout_s
-        while isinstance(way, Broker) and not way.is_clear():
-            if self.clock.monotonic() > end:
-                logging.info("slots that are lent didn't come back in time")
+        deadline = self.clock.monotonic() + timeout_s
+        while isinstance(sharing, Broker) and not sharing.is_clear():
+            if self.clock.monotonic() > deadline:
+                logging.info("lent slots weren't returned in time; no leave record is written")
                 return
-            way.stop_lending()
-            await self.clock.sleep(COLLECT_S)
-        if isinstance(way, Broker):
-            way.stop_owning()
+            sharing.stop_lending()
+            await self.clock.sleep(RETURN_POLL_PERIOD_S)
+        if isinstance(sharing, Broker):
+            sharing.stop_owning()
         await self._write(body)
 
-    async def _look(self) -> None:
+    async def _write_due_records(self) -> None:
         own = self.log.state.entries_by_host.get(self.members.me.host)
-        run = (own["state"], own["incarnation"]) if own is not None else ("", 0)
-        if run == ("gone", self.members.me.incarnation):
-            # The others have taken this run's share over; only a new run may go on.
+        own_run = (own["state"], own["incarnation"]) if own is not None else ("", 0)
+        if own_run == ("gone", self.members.me.incarnation):
+            # Other hosts have taken over this incarnation's share; only a new one may join.
             self.members.start_new_incarnation()
         for body in self.entries.due_records():
             await self._write(body)
 
     async def _write(self, body: EntryBody) -> None:
         try:
-            await self.log.write("entry", body, timeout_s=WRITE_S)
+            await self.log.write("entry", body, timeout_s=WRITE_TIMEOUT_S)
         except (TimeoutError, MustardgapError) as exc:
-            logging.debug("entry record: %s", exc)
+            logging.debug("entry record not confirmed: %s", exc)
 
-    def _folded(self, way: Broker, record: LogRecord, verdict: Verdict) -> None:
-        way.folded()
+    def _on_fold(self, sharing: Broker, record: LogRecord, verdict: Verdict) -> None:
+        sharing.folded()
--- a/mustardgap/servers.py
+++ b/mustardgap/servers.py
@@ -1,4 +1,4 @@
-"""An HTTP server with bounded connections, numbered refusals and certificates that may change."""
+"""An HTTP server with a connection limit, result codes in refusals and renewable certificates."""
 
 import socket
 from contextlib import suppress
@@ -19,12 +19,12 @@
 
 
 class BoundedServer(HTTPServer):
-    """A server whose memory is bounded by its settings, whatever the other ends send.
+    """A server whose memory is bounded by its settings, whatever clients send.
 
-    :param application: what serves the requests.
+    :param application: the handler of the requests.
     :param name: the port's name in metrics.
-    :param max_connections: more connections than this are closed with a refusal.
-    :param certificates: the keys to use, None for plain HTTP.
+    :param max_connections: connections beyond this number are refused and closed.
+    :param certificates: the certificates and key to use, None for plain HTTP.
     """
 
     def initialize(  # type: ignore[override]
@@ -40,53 +40,55 @@
         super().initialize(application, ssl_options=context, **kwargs)
         self.name = name
         self.max_connections = max_connections
-        self._malformed = _head(status_codes.BAD_REQUEST)
-        self._too_large = _head(status_codes.TOO_LARGE)
-        self._too_many = _head(status_codes.OVER_BUDGET, "too many connections")
+        self._malformed_response = _make_refusal(status_codes.BAD_REQUEST)
+        self._too_large_response = _make_refusal(status_codes.TOO_LARGE)
+        self._too_many_response = _make_refusal(status_codes.OVER_BUDGET, "too many connections")
         if certificates:
-            certificates.on_change(self._use)
+            certificates.on_change(self._on_certificates_changed)
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
-        """Serve one connection, or refuse it when there are too many."""
+        """Serve a connection, or refuse it if there are too many."""
         if len(self._connections) >= self.max_connections:
-            # Without a bound a flood of connections takes memory and descriptors until the
-            # process can't accept or connect any more; a refused one costs a single write.
+            # Without a limit a flood of connections would exhaust memory and descriptors until the
+            # process can't accept or connect any more. A refusal costs only a single write.
             metrics.refused_connections.add(1, {"port": self.name})
-            stream.write(self._too_many).add_done_callback(lambda _: stream.close())
+            stream.write(self._too_many_response).add_done_callback(lambda _: stream.close())
             return
-        self._number_refusals(stream)
+        self._add_result_codes(stream)
         super().handle_stream(stream, address)
 
-    def _use(self, certificates: Certificates) -> None:
+    def _on_certificates_changed(self, certificates: Certificates) -> None:
         self.ssl_options = certificates.server_context()
 
-    def _number_refusals(self, stream: IOStream) -> None:
-        # Tornado refuses what isn't HTTP with a bare 400 and closes oversized heads without a
-        # word. Both leave the sender without a result code, so they are replaced on the stream.
+    def _add_result_codes(self, stream: IOStream) -> None:
+        # Tornado answers what isn't HTTP with a bare 400 and closes the connection on oversized
+        # headers without an answer. Both lack a result code, so they are replaced on the stream.
         write, close = stream.write, stream.close
 
-        def numbered_write(data: bytes | memoryview) -> Any:
+        def write_with_code(data: bytes | memoryview) -> Any:
             if data == _TORNADO_REFUSAL:
                 metrics.malformed_requests.add(1, {"port": self.name})
-                data = self._malformed
+                data = self._malformed_response
             return write(data)
 
-        def numbered_close(exc_info: Any = False) -> None:
+        def close_with_code(exc_info: Any = False) -> None:
             if isinstance(exc_info, UnsatisfiableReadError) and not stream.closed():
                 metrics.malformed_requests.add(1, {"port": self.name})
-                _send_last(stream.socket, self._too_large)
+                _send_and_shut_down(stream.socket, self._too_large_response)
             close(exc_info)
 
-        stream.write = numbered_write  # type: ignore[method-assign]
-        stream.close = numbered_close  # type: ignore[method-assign]
+        stream.write = write_with_code  # type: ignore[method-assign]
+        stream.close = close_with_code  # type: ignore[method-assign]
 
 
 def bind(server: BoundedServer, port: int, address: str) -> int:
     """Listen on an address.
 
+    :param server: the server that accepts the connections.
     :param port: the port, 0 for any free one.
+    :param address: the IP address.
     :return: the port listened on.
-    :raises MustardgapError: MG2003 when it can't be had.
+    :raises MustardgapError: MG2003, the server can't listen on it.
     """
     try:
         sock = socket.create_server((address, port), backlog=1024, reuse_port=False)
@@ -103,7 +105,7 @@
     return bound
 
 
-def _head(code: Code, detail: str = "") -> bytes:
+def _make_refusal(code: Code, detail: str = "") -> bytes:
     resp = answer(NotRun(code=code, detail=detail), request_id="")
     lines = [f"HTTP/1.1 {resp.status} {code.name}"]
     lines += [f"{name}: {value}" for name, value in resp.headers if value]
@@ -111,10 +113,10 @@
     return "\r\n".join([*lines, "", ""]).encode() + resp.body
 
 
-def _send_last(sock: socket.socket, data: bytes) -> None:
+def _send_and_shut_down(sock: socket.socket, data: bytes) -> None:
     with suppress(OSError):
         sock.send(data)
         sock.shutdown(socket.SHUT_WR)
-        # Closing with bytes unread makes the kernel send a reset, which can overtake the refusal.
+        # Closing with unread bytes makes the kernel send a reset, which can overtake the refusal.
         while sock.recv(65536):
             pass
