--- a/mustardgap/exchanges.py
+++ b/mustardgap/exchanges.py
@@ -239,7 +239,7 @@
 
     def _hang_up(self) -> None:
         if self._session is not None:
-            self._session.hang_up()
+            self._session.handle_disconnect()
 
     def _own_answer(self) -> Answer:
         headers = [("Content-Type", "text/plain")]
--- a/mustardgap/sessions.py
+++ b/mustardgap/sessions.py
@@ -20,7 +20,7 @@
 from .tries import NotSent, TryResult
 from .upstreams import Request, Upstreams
 
-MAX_UNREACHED = 4
+MAX_UNSENT_TRIES = 4
 
 
 class Slot(Protocol):
@@ -31,7 +31,7 @@
         """The executor whose slot it is."""
 
 
-class HasSlots(Protocol):
+class SlotProvider(Protocol):
     """The sharing of slots."""
 
     async def acquire(
@@ -62,7 +62,7 @@
         settings: Settings,
         state: Any,
         executors: Executors,
-        slots: HasSlots,
+        slots: SlotProvider,
         keys: Keys,
         upstreams: Upstreams | None = None,
         timeline: Timeline | None = None,
@@ -84,7 +84,7 @@
         :param request: the caller's request, whole.
         :param sink: takes an answer that is too large to be held.
         """
-        return Session(parts=self, request=request, sink=sink)
+        return Session(shared=self, request=request, sink=sink)
 
     async def handle(self, request: Request, sink: Sink | None = None) -> Outcome:
         """Run a request to its outcome."""
@@ -94,28 +94,28 @@
 class Session:
     """One request; its time runs from here.
 
-    :param parts: what all sessions share.
+    :param shared: what all sessions share.
     :param request: the caller's request.
     :param sink: takes an answer that is too large to be held.
     """
 
-    def __init__(self, *, parts: Sessions, request: Request, sink: Sink | None) -> None:
-        self.parts = parts
+    def __init__(self, *, shared: Sessions, request: Request, sink: Sink | None) -> None:
+        self.shared = shared
         self.request = request
         self.sink = sink
-        self.started = parts.clock.monotonic()
+        self.started = shared.clock.monotonic()
         self.service = ""
         self.tries = 0
-        self._unreached = 0
-        self._idempotent = False
-        self._sent = False
+        self._unsent_tries = 0
+        self._is_idempotent = False
+        self._is_sent = False
         self._is_claiming = False
         self._has_outcome = False
         self._deadline = self.started
         self._task: asyncio.Task[Any] | None = None
         self._tried: set[str] = set()
         # What is told when no further try can be made: something that an executor did.
-        self._fallback: Outcome | None = None
+        self._fallback_outcome: Outcome | None = None
 
     async def run(self) -> Outcome:
         """Run the request to its outcome.
@@ -125,16 +125,16 @@
         self._task = asyncio.current_task()
         outcome = await self._run()
         self._has_outcome = not isinstance(outcome, NotRun)
-        self._note(outcome)
+        self._record_outcome(outcome)
         return outcome
 
-    def hang_up(self) -> None:
+    def handle_disconnect(self) -> None:
         """The caller has gone: stop waiting for it.
 
         A non-idempotent request that an executor may have seen goes on, so that its outcome is
         known when it is asked for again with its key.
         """
-        if self._task is not None and (self._idempotent or not self._sent):
+        if self._task is not None and (self._is_idempotent or not self._is_sent):
             self._task.cancel()
 
     def give_up(self, refusal: Code) -> NotRun | Unknown:
@@ -142,12 +142,12 @@
 
         :param refusal: tells why, when no executor was given the request.
         """
-        outcome = self._given_up(refusal)
-        self._note(outcome)
+        outcome = self._make_given_up_outcome(refusal)
+        self._record_outcome(outcome)
         return outcome
 
-    def _given_up(self, refusal: Code) -> NotRun | Unknown:
-        if self._sent or self._has_outcome:
+    def _make_given_up_outcome(self, refusal: Code) -> NotRun | Unknown:
+        if self._is_sent or self._has_outcome:
             return Unknown(code=status_codes.UNKNOWN_GIVEN_UP)
         if self._is_claiming:
             # An earlier request with this key may have run: sent again without the key, as the
@@ -156,52 +156,52 @@
         return NotRun(code=refusal, retry_after=judgements.jitter(judgements.RETRY_AFTER_S))
 
     async def _run(self) -> Outcome:
-        route = self.parts.routes.match(self.request.target)
+        route = self.shared.routes.match(self.request.target)
         if route is None:
             return NotRun(code=status_codes.NO_SERVICE, retry_after=judgements.RETRY_AFTER_S)
         self.service = route.service
-        self._idempotent = route.is_idempotent(self.request.method)
-        refusal = self._check(route)
+        self._is_idempotent = route.is_idempotent(self.request.method)
+        refusal = self._check_limits(route)
         if refusal is not None:
             return refusal
         metrics.active_requests.add(1, {"service": self.service})
         try:
-            if self._idempotent or "Idempotency-Key" not in self.request.headers:
+            if self._is_idempotent or "Idempotency-Key" not in self.request.headers:
                 return await self._try_all(route)
-            return await self._run_once(route)
+            return await self._run_with_key(route)
         finally:
             metrics.active_requests.add(-1, {"service": self.service})
 
-    def _check(self, route: Route) -> NotRun | None:
+    def _check_limits(self, route: Route) -> NotRun | None:
         limits = route.limits
         if limits is not None and len(self.request.body) > limits["max_body_bytes"]:
             detail = f"the body is larger than {limits['max_body_bytes']} bytes"
             return NotRun(code=status_codes.TOO_LARGE, detail=detail)
-        callers = self.parts.settings.callers
+        callers = self.shared.settings.callers
         timeout_s = limits["timeout_s"] if limits else callers.default_timeout_s
         # Slots of an entry host that is gone come back after the longest that a request may run.
-        most_s = limits["timeout_s"] if limits else callers.max_timeout_s
-        asked = self.request.headers.get("X-Request-Timeout")
-        if asked is not None:
+        max_s = limits["timeout_s"] if limits else callers.max_timeout_s
+        requested = self.request.headers.get("X-Request-Timeout")
+        if requested is not None:
             try:
-                timeout_s = float(asked)
+                timeout_s = float(requested)
             except ValueError:
                 timeout_s = float("nan")
             if not 0 < timeout_s < float("inf"):
                 detail = "X-Request-Timeout is not a number of seconds above 0"
                 return NotRun(code=status_codes.BAD_REQUEST, detail=detail)
-        self._deadline = self.started + min(timeout_s, most_s, callers.max_timeout_s)
+        self._deadline = self.started + min(timeout_s, max_s, callers.max_timeout_s)
         return None
 
-    async def _run_once(self, route: Route) -> Outcome:
+    async def _run_with_key(self, route: Route) -> Outcome:
         """Run a request with a key: only when this key hasn't run before."""
-        if self.parts.keys is None:
+        if self.shared.keys is None:
             return NotRun(
                 code=status_codes.KEY_UNDECIDED,
                 retry_after=judgements.jitter(judgements.RETRY_AFTER_S),
             )
         self._is_claiming = True
-        claim = await self.parts.keys.claim(self.service, self.request, deadline=self._deadline)
+        claim = await self.shared.keys.claim(self.service, self.request, deadline=self._deadline)
         self._is_claiming = False
         if not isinstance(claim, Claim):
             return claim
@@ -211,28 +211,28 @@
             return outcome
         finally:
             # The key needs an end, also when this task has none, by a cancellation or a fault.
-            outcome = outcome or self._given_up(status_codes.GIVEN_UP_BEFORE_RUN)
-            self.parts.keys.finish(claim, outcome)
+            outcome = outcome or self._make_given_up_outcome(status_codes.GIVEN_UP_BEFORE_RUN)
+            self.shared.keys.finish(claim, outcome)
 
     async def _try_all(self, route: Route) -> Outcome:
-        self.parts.budget.earn(self.service)
+        self.shared.budget.earn(self.service)
         while True:
             try:
                 slot = await self._acquire(route)
             except SlotRefused as exc:
-                return self._fallback or exc.outcome
+                return self._fallback_outcome or exc.outcome
             executor = slot.executor.executor
             self._tried.add(executor)
             try:
                 result = await self._try(slot.executor)
             finally:
-                self.parts.slots.release(slot)
-            self._count(result)
-            outcome = self._judge(result, executor)
-            if not self._may_repeat(result):
-                return self._fallback or outcome if isinstance(outcome, NotRun) else outcome
+                self.shared.slots.release(slot)
+            self._count_try(result)
+            outcome = self._outcome_of(result, executor)
+            if not self._may_retry(result):
+                return self._fallback_outcome or outcome if isinstance(outcome, NotRun) else outcome
             if not isinstance(outcome, NotRun):
-                self._fallback = outcome
+                self._fallback_outcome = outcome
             metrics.retries.add(1, {"service": self.service})
 
     async def _acquire(self, route: Route) -> Slot:
@@ -243,13 +243,13 @@
         """
         slot = await self._acquire_any(route)
         executor = slot.executor.executor
-        if self.parts.executors.begin(executor, idempotent=self._idempotent):
+        if self.shared.executors.begin(executor, idempotent=self._is_idempotent):
             return slot
-        self.parts.slots.release(slot)
+        self.shared.slots.release(slot)
         return await self._acquire_any(route, executor)
 
     async def _acquire_any(self, route: Route, *avoided: str) -> Slot:
-        return await self.parts.slots.acquire(
+        return await self.shared.slots.acquire(
             self.service,
             deadline=self._deadline,
             urgency=route.urgency,
@@ -257,66 +257,70 @@
         )
 
     async def _try(self, executor: ExecutorView) -> TryResult:
-        started = self.parts.clock.monotonic()
+        started = self.shared.clock.monotonic()
         try:
-            result = await self.parts.upstreams.send(
+            result = await self.shared.upstreams.send(
                 self.request,
                 executor,
                 deadline=self._deadline,
                 sink=self.sink,
-                on_sent=self._note_sent,
+                on_sent=self._mark_sent,
                 patience=self._patience(),
             )
         except asyncio.CancelledError:
-            self.parts.executors.skip(executor.executor)
+            self.shared.executors.skip(executor.executor)
             raise
-        took_s = self.parts.clock.monotonic() - started
-        self.parts.executors.report(executor.executor, result, took_s)
+        took_s = self.shared.clock.monotonic() - started
+        self.shared.executors.report(executor.executor, result, took_s)
         if getattr(result, "leaving", False):
-            self.parts.executors.mark_leaving(executor.executor)
+            self.shared.executors.mark_leaving(executor.executor)
         return result
 
     def _patience(self) -> Patience | None:
-        if not self._idempotent or self.tries + 1 >= self.parts.settings.requests.max_tries:
+        if not self._is_idempotent or self.tries + 1 >= self.shared.settings.requests.max_tries:
             return None
-        seconds = self.parts.settings.requests.silent_timeout_s
-        return Patience(seconds, lambda: self.parts.budget.spend(self.service))
+        seconds = self.shared.settings.requests.silent_timeout_s
+        return Patience(seconds, lambda: self.shared.budget.spend(self.service))
 
-    def _note_sent(self) -> None:
-        self._sent = True
+    def _mark_sent(self) -> None:
+        self._is_sent = True
 
-    def _judge(self, result: TryResult, executor: str) -> Outcome:
-        if isinstance(result, NotSent) and self._is_over():
+    def _outcome_of(self, result: TryResult, executor: str) -> Outcome:
+        if isinstance(result, NotSent) and self._is_past_deadline():
             return NotRun(code=status_codes.DEADLINE_BEFORE_RUN, detail=result.detail)
         return judgements.outcome_of(result, executor)
 
-    def _count(self, result: TryResult) -> None:
+    def _count_try(self, result: TryResult) -> None:
         # When half of the executors vanish at once, the next two may well be gone too. Counted as
         # tries, these would use up those of a request that the other half could still answer.
         if isinstance(result, NotSent):
-            self._unreached += 1
+            self._unsent_tries += 1
         else:
             self.tries += 1
 
-    def _may_repeat(self, result: TryResult) -> bool:
-        max_tries = self.parts.settings.requests.max_tries
-        if self.tries >= max_tries or self._unreached >= MAX_UNREACHED or self._is_over():
+    def _may_retry(self, result: TryResult) -> bool:
+        max_tries = self.shared.settings.requests.max_tries
+        if (
+            self.tries >= max_tries
+            or self._unsent_tries >= MAX_UNSENT_TRIES
+            or self._is_past_deadline()
+        ):
             return False
-        price = judgements.retry_cost(result, idempotent=self._idempotent)
-        if price is RetryCost.BUDGET:
-            return self.parts.budget.spend(self.service)
-        return price is RetryCost.FREE
+        cost = judgements.retry_cost(result, idempotent=self._is_idempotent)
+        if cost is RetryCost.BUDGET:
+            return self.shared.budget.spend(self.service)
+        return cost is RetryCost.FREE
 
-    def _is_over(self) -> bool:
-        return self.parts.clock.monotonic() >= self._deadline
+    def _is_past_deadline(self) -> bool:
+        return self.shared.clock.monotonic() >= self._deadline
 
-    def _note(self, outcome: Outcome) -> None:
+    def _record_outcome(self, outcome: Outcome) -> None:
         code = outcome.code.number
         metrics.requests.add(1, {"service": self.service, "mustardgap.code": code})
-        took_s = self.parts.clock.monotonic() - self.started
+        took_s = self.shared.clock.monotonic() - self.started
         metrics.request_duration.record(took_s, {"service": self.service})
         if isinstance(outcome, Unknown | BrokenOff):
-            self.parts.timeline.add(
+            self.shared.timeline.add(
                 "request.unknown",
                 cause=f"{outcome.code} {outcome.detail}",
                 request=self.request.request_id,
