--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -30,7 +30,7 @@
 SECRETS = ("body-of-a-seeker", "key-of-a-refund", "payload-of-a-job")
 
 
-class StillClock(Clock):
+class ManualClock(Clock):
     """A clock that is moved by hand."""
 
     def __init__(self):
@@ -52,36 +52,36 @@
     return logger, stream
 
 
-def fail(logger, message="a request failed", cause="it broke"):
+def log_fault(logger, message="a request failed", cause="it broke"):
     try:
         raise ValueError(cause)
     except ValueError:
         logger.exception(message)
 
 
-def counted(result):
+def count_lines(result):
     name = f'mustardgap_log_lines_total{{result="{result}"}} '
     lines = metrics.render().decode().splitlines()
     return next((float(x.removeprefix(name)) for x in lines if x.startswith(name)), 0.0)
 
 
 @given("logs on a clock that stands still")
-def still(context):
-    context.clock = StillClock()
+def start_stopped_clock(context):
+    context.clock = ManualClock()
     context.logger, context.stream = make_logger(context.clock)
-    context.before = counted("written"), counted("suppressed")
+    context.before = count_lines("written"), count_lines("suppressed")
 
 
 @when("logs get 10000 faults at once, and one more 10 seconds later")
-def flood(context):
+def log_faults(context):
     for _ in range(10_000):
-        fail(context.logger)
+        log_fault(context.logger)
     context.clock.now += 10
-    fail(context.logger)
+    log_fault(context.logger)
 
 
 @then("logs hold 201 lines, of which the last tells how many were left out")
-def check_flood(context):
+def check_limit(context):
     lines = context.stream.getvalue().splitlines()
     assert len(lines) == 201, len(lines)
     assert lines[-1].endswith("suppressed=9800"), lines[-1]
@@ -91,7 +91,9 @@
 @then("logs count each line as written or suppressed")
 def check_counts(context):
     written, suppressed = context.before
-    assert counted("written") - written == 201 and counted("suppressed") - suppressed == 9800
+    assert (
+        count_lines("written") - written == 201 and count_lines("suppressed") - suppressed == 9800
+    )
 
 
 @then("logs hold one line of pairs for any message, with or without a fault")
@@ -101,7 +103,7 @@
     def check(message, cause, with_fault):
         logger, stream = make_logger()
         if with_fault:
-            fail(logger, message.replace("%", ""), cause)
+            log_fault(logger, message.replace("%", ""), cause)
         else:
             logger.info("%s", message)
         (line,) = stream.getvalue().split("\n")[:-1]
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -19,7 +19,7 @@
     for name in names.removesuffix(" mute").removesuffix(" unhurried").split(", "):
         world.relay(name, stale_after_s=60.0 if names.endswith(" unhurried") else 0.0)
     if names.endswith(" mute"):
-        world.peers_by_name["C"].mute = True
+        world.peers_by_name["C"].is_unresponsive = True
 
 
 async def write_all(log, count, at_once):
@@ -56,9 +56,9 @@
     world.until(lambda: log.offset == world.end(), "all is passed on")
     assert log.state.digest() == source.state.digest()
     bound = log.settings.stale_after_s
-    world.until(lambda: log.current and log.fresh_s() < bound, "it is fresh")
+    world.until(lambda: log.current and log.seconds_since_confirmed() < bound, "it is fresh")
     world.run(asyncio.sleep(bound))
-    world.until(lambda: log.fresh_s() < bound, "it is fresh again")
+    world.until(lambda: log.seconds_since_confirmed() < bound, "it is fresh again")
 
 
 @then("the relayed daemon {name} lacks some and gets stale")
@@ -67,7 +67,9 @@
     log = world.logs_by_name[name]
     world.run(asyncio.sleep(log.settings.stale_after_s))
     assert log.offset < world.end()
-    assert log.fresh_s() >= time.monotonic() - context.since - 0.1, log.fresh_s()
+    assert (
+        log.seconds_since_confirmed() >= time.monotonic() - context.since - 0.1
+    ), log.seconds_since_confirmed()
 
 
 @when("the log is out of reach of all daemons for {seconds:d} seconds")
@@ -81,7 +83,9 @@
 @then("no relayed daemon claims to be fresher than the outage")
 def check_none_fresh(context):
     for log in context.world.logs_by_name.values():
-        assert log.fresh_s() >= time.monotonic() - context.since - 0.1, log.fresh_s()
+        assert (
+            log.seconds_since_confirmed() >= time.monotonic() - context.since - 0.1
+        ), log.seconds_since_confirmed()
     assert sum(peers.calls for peers in context.world.peers_by_name.values()) > 0
 
 
--- a/features/steps/streams_steps.py
+++ b/features/steps/streams_steps.py
@@ -17,21 +17,21 @@
 from mustardgap.outcomes import Accepted, Rejected
 
 STREAM = "mustardgap"
-PENDING = appends.Pending
+PENDING_RECORD = appends.PendingRecord
 OUTAGE_S = 1.5
 WAIT_S = 60.0
 
 
-def says(log, code):
+def has_code(log, code):
     """Whether a log gives this code as the reason why it isn't current."""
     return log.why_not_current is not None and log.why_not_current.number == code
 
 
-def safeguards_off(context, name):
+def disable_safeguard(context, name):
     """Take one safeguard off for the rest of the scenario."""
     patches = {
         "none": [],
-        "appending again": [mock.patch.object(appends.Appender, "_queue_again")],
+        "appending again": [mock.patch.object(appends.Appender, "_requeue")],
         "checkpoints": [mock.patch.object(checkpoints.Checkpoints, "due", return_value=False)],
     }
     for patch in patches[name]:
@@ -69,7 +69,7 @@
     )
 
 
-def fault_on(context, fault, **fields):
+def inject_fault(context, fault, **fields):
     """Switch faults on, such as ``lost POST + down GET``."""
     for part in fault.split(" + "):
         name, _, method = part.partition(" ")
@@ -80,15 +80,15 @@
 
 @when("the log is {fault} while {count:d} operators write to {names} without {safeguard}")
 def write_under_fault(context, fault, count, names, safeguard):
-    safeguards_off(context, safeguard)
+    disable_safeguard(context, safeguard)
     world, daemons = context.world, names.split(" and ")
-    fault_on(context, fault)
-    patience = 20.0 if safeguard == "none" else 6.0
+    inject_fault(context, fault)
+    timeout_s = 20.0 if safeguard == "none" else 6.0
 
     async def all_writes():
         writes = [
             asyncio.create_task(
-                write(context, daemons[n % len(daemons)], f"w{n}", timeout_s=patience)
+                write(context, daemons[n % len(daemons)], f"w{n}", timeout_s=timeout_s)
             )
             for n in range(count)
         ]
@@ -115,15 +115,15 @@
 
 
 @when("the log is {fault} and an operator gives a write to {name} {timeout_s:g} seconds")
-def write_too_long(context, fault, name, timeout_s):
-    fault_on(context, fault)
+def write_until_timeout(context, fault, name, timeout_s):
+    inject_fault(context, fault)
     (context.failure,) = context.world.run(
         gather([write(context, name, "w0", timeout_s=timeout_s)])
     )
 
 
-@then("the log tells the operator {code:d}, and {truth} after the outage")
-def check_told(context, code, truth):
+@then("the log tells the operator {code:d}, and {effect} after the outage")
+def check_reply(context, code, effect):
     failure, world = context.failure, context.world
     assert isinstance(failure, MustardgapError) and failure.code.number == code, failure
     end = world.end()
@@ -132,7 +132,7 @@
     log = world.logs_by_name["A"]
     # A write that was given up mustn't be appended later either.
     world.run(asyncio.sleep(1.0))
-    assert ("team/w0" in log.state.declarations_by_key) == (truth == "it is in force"), log.offset
+    assert ("team/w0" in log.state.declarations_by_key) == (effect == "it is in force"), log.offset
     assert world.end() == end
 
 
@@ -142,59 +142,61 @@
     for number in range(rounds):
         known = world.logs_by_name[first].state.declarations_by_key.get("team/raced")
         base = known.version if known else -1
-        pair = [
+        writes = [
             write(context, n, "raced", number * 2 + i, base) for i, n in enumerate((first, second))
         ]
-        context.results.append(world.run(gather(pair)))
+        context.results.append(world.run(gather(writes)))
         world.agree(first, second)
 
 
 @then("the log's race has one winner each time and the other is told what changed")
 def check_race(context):
-    for pair in context.results:
-        (lost,) = [verdict for verdict in pair if isinstance(verdict, Rejected)]
-        assert lost.code.number == 3000 and lost.changed == ["team/raced"], lost
-        assert sum(isinstance(verdict, Accepted) for verdict in pair) == 1
+    for verdicts in context.results:
+        (rejected,) = [verdict for verdict in verdicts if isinstance(verdict, Rejected)]
+        assert rejected.code.number == 3000 and rejected.changed == ["team/raced"], rejected
+        assert sum(isinstance(verdict, Accepted) for verdict in verdicts) == 1
 
 
 @when("the daemon {name} is cut off from the log by {fault}, and {peer} passes on {what}")
-def cut_off(context, name, fault, peer, what):
+def isolate(context, name, fault, peer, what):
     world = context.world
-    cut, source = world.logs_by_name[name], world.logs_by_name[peer]
+    isolated, source = world.logs_by_name[name], world.logs_by_name[peer]
     world.control.fault(fault, port=world.ports_by_name[name])
 
     def relay(record, verdict):
         if what == "each record" or (what == "every other record" and record.offset % 2):
-            cut.receive([record])
+            isolated.receive([record])
         if what == "every other record":
-            cut.receive(source.recent(cut.offset))
-        cut.witness(source.offset, 0.0)
+            isolated.receive(source.recent(isolated.offset))
+        isolated.confirm_current(source.offset, 0.0)
 
     source.on_fold(relay)
     writes = [write(context, peer, f"w{n}") for n in range(20)]
     context.verdicts = world.run(gather(writes))
-    context.cut_since = time.monotonic()
+    context.isolated_since = time.monotonic()
 
 
 @then("the cut off daemon {name} has folded what {peer} has and knows that it is {freshness}")
-def check_cut_off(context, name, peer, freshness):
+def check_isolated(context, name, peer, freshness):
     world = context.world
-    cut, source = world.logs_by_name[name], world.logs_by_name[peer]
+    isolated, source = world.logs_by_name[name], world.logs_by_name[peer]
     if freshness == "fresh":
-        assert cut.state.digest() == source.state.digest()
-        cut.witness(source.offset, source.fresh_s())
-        assert cut.fresh_s() <= source.fresh_s() + 0.1
+        assert isolated.state.digest() == source.state.digest()
+        isolated.confirm_current(source.offset, source.seconds_since_confirmed())
+        assert isolated.seconds_since_confirmed() <= source.seconds_since_confirmed() + 0.1
     else:
         world.run(asyncio.sleep(1.0))
-        assert cut.offset < source.offset
-        assert cut.fresh_s() >= time.monotonic() - context.cut_since - 0.1, cut.fresh_s()
+        assert isolated.offset < source.offset
+        assert (
+            isolated.seconds_since_confirmed() >= time.monotonic() - context.isolated_since - 0.1
+        ), isolated.seconds_since_confirmed()
 
 
 @when("the log has a whole checkpoint and {what}")
 def write_checkpoint(context, what):
     world = context.world
     world.run(world.logs_by_name["A"].checkpoints.write())
-    write_some(context, 5, "later")
+    write_more(context, 5, "later")
     if what == "its older records expire":
         world.control.fault("expired", on=STREAM, count=0)
         # The stand-in expires all streams alike, so the checkpoint is written once more.
@@ -206,7 +208,7 @@
         world.run(log.platform.append(f"{STREAM}-checkpoints", half[:2]))
 
 
-def write_some(context, count, prefix):
+def write_more(context, count, prefix):
     """Write some more changes."""
     world = context.world
     verdicts = world.run(gather([write(context, "A", f"{prefix}{n}") for n in range(count)]))
@@ -221,7 +223,7 @@
         world.control.fault("down", port=world.ports_by_name[name[0]])
         peer = world.logs_by_name["A"]
         log.restore(peer.snapshot())
-        log.witness(peer.offset, peer.fresh_s())
+        log.confirm_current(peer.offset, peer.seconds_since_confirmed())
     if source == "neither":
         world.control.fault("down", port=world.ports_by_name[name[0]])
         world.run(asyncio.sleep(1.0))
@@ -235,14 +237,14 @@
         world.agree("A", name)
         return
     code = int(result.rpartition(" ")[2])
-    world.until(partial(says, log, code), f"{code}")
+    world.until(partial(has_code, log, code), f"{code}")
     assert not log.current
-    assert "stopped" in result or log.fresh_s() > 1e6
+    assert "stopped" in result or log.seconds_since_confirmed() > 1e6
 
 
 @when("an outage outlasts the log's retention without {safeguard}")
-def outlast(context, safeguard):
-    safeguards_off(context, safeguard)
+def outlast_retention(context, safeguard):
+    disable_safeguard(context, safeguard)
     world = context.world
     world.control.fault("down", on="/log/*")
     world.run(asyncio.sleep(OUTAGE_S))
@@ -273,8 +275,8 @@
 def check_stopped(context, names, code):
     for name in names.split(" and "):
         log = context.world.logs_by_name[name]
-        context.world.until(partial(says, log, code), f"{code}")
-        log.witness(log.offset, 0.0)
+        context.world.until(partial(has_code, log, code), f"{code}")
+        log.confirm_current(log.offset, 0.0)
         assert log.offset == context.before and not log.current
 
 
@@ -306,22 +308,24 @@
     world.agree("C")
     before, started = world.control.truth()["log"]["appends"], time.monotonic()
 
-    async def one_by_one():
+    async def write_one_by_one():
         order = []
 
-        async def note(name, purpose):
+        async def write_and_note(name, purpose):
             body = change(name)
             await log.write("config", body, timeout_s=WAIT_S, purpose=purpose)
             order.append(name)
 
         with mock.patch.object(appends, "MAX_BATCH_RECORDS", 1):
-            background = [asyncio.create_task(note(f"b{n}", "background")) for n in range(count)]
+            background = [
+                asyncio.create_task(write_and_note(f"b{n}", "background")) for n in range(count)
+            ]
             await asyncio.sleep(0.2)
-            await note("operator", "operators")
+            await write_and_note("operator", "operators")
             await asyncio.gather(*background)
         return order
 
-    context.order = world.run(one_by_one())
+    context.order = world.run(write_one_by_one())
     context.spent = world.control.truth()["log"]["appends"] - before
     context.allowed = per_s * (1 + time.monotonic() - started)
 
@@ -329,25 +333,25 @@
 @then("the budget of appends holds and the operator's goes ahead")
 def check_budget(context):
     assert context.spent <= context.allowed, (context.spent, context.allowed)
-    place = context.order.index("operator")
-    assert place < len(context.order) / 2, place
+    position = context.order.index("operator")
+    assert position < len(context.order) / 2, position
 
 
-def made_before(**fields):
+def make_already_appended(**fields):
     """A record that counts as appended before."""
-    pending = PENDING(**fields)
+    pending = PENDING_RECORD(**fields)
     pending.may_be_appended = True
     return pending
 
 
 @when("on the log {count:d} changes are made at one moment with seen taken {moment}")
-def write_wave(context, count, moment):
+def write_burst(context, count, moment):
     patch = mock.patch.object(states, "REMEMBERED_IDS", 300)
     patch.start()
     context.add_cleanup(patch.stop)
     if moment == "when they are made":
         # A record that may be appended already keeps the number it was made with.
-        patch = mock.patch.object(appends, "Pending", made_before)
+        patch = mock.patch.object(appends, "PendingRecord", make_already_appended)
         patch.start()
         context.add_cleanup(patch.stop)
     writes = [write(context, "A", f"w{n}", timeout_s=60.0) for n in range(count)]
--- a/features/streams.feature
+++ b/features/streams.feature
@@ -27,10 +27,10 @@
     may be appended after the outage.
     Given a log with the daemons A, B
     When the log is <fault> and an operator gives a write to A 1.2 seconds
-    Then the log tells the operator <code>, and <truth> after the outage
+    Then the log tells the operator <code>, and <effect> after the outage
 
     Examples:
-      | fault                | code | truth              |
+      | fault                | code | effect             |
       | down POST            | 5000 | it is not in force |
       | silent POST          | 5001 | it is not in force |
       | lost POST + down GET | 5001 | it is in force     |
--- a/features/support/log_worlds.py
+++ b/features/support/log_worlds.py
@@ -54,12 +54,12 @@
 
     def start(self, name, **settings):
         """Start a daemon's log, with an empty state."""
-        known = {"timeout_s": 0.4, "stale_after_s": 3.0, **settings}
+        values = {"timeout_s": 0.4, "stale_after_s": 3.0, **settings}
         address = f"127.0.0.1:{self.ports_by_name[name[0]]}"
         log = self.logs_by_name[name] = Log(
-            platform=Platform(address=address, timeout_s=known["timeout_s"]),
+            platform=Platform(address=address, timeout_s=values["timeout_s"]),
             state=State(),
-            settings=PlatformSettings(address=address, **known),
+            settings=PlatformSettings(address=address, **values),
             timers=Timers(),
             timeline=Timeline(member=name, size=100),
             member=name,
@@ -83,14 +83,14 @@
         """End a daemon's log."""
         task = self.tasks_by_name.pop(name)
         task.cancel()
-        self.run(ended([task]))
+        self.run(wait_ended([task]))
         self.logs_by_name.pop(name).platform.close()
 
     def close(self):
         """End all logs and the loop."""
         for task in self.relays:
             task.cancel()
-        self.run(ended(self.relays))
+        self.run(wait_ended(self.relays))
         for name in list(self.tasks_by_name):
             self.stop(name)
         self.loop.close()
@@ -123,7 +123,7 @@
         self.name = name
         self.handlers = {}
         self.calls = 0
-        self.mute = False
+        self.is_unresponsive = False
         world.peers_by_name[name] = self
 
     def handle(self, type_, handler):
@@ -132,7 +132,7 @@
     async def call(self, member_id, message, *, timeout_s):
         self.calls += 1
         other = self.world.peers_by_name[member_id]
-        if other.mute:
+        if other.is_unresponsive:
             await asyncio.sleep(timeout_s)
             raise PeerError(detail="no answer", place=member_id)
         wire = msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=AnyMessage)
@@ -157,7 +157,7 @@
         return SimpleNamespace(id=name, offset=offset)
 
 
-async def ended(tasks):
+async def wait_ended(tasks):
     """Wait until cancelled tasks have ended."""
     await asyncio.gather(*tasks, return_exceptions=True)
 
--- a/mustardgap/appends.py
+++ b/mustardgap/appends.py
@@ -19,12 +19,12 @@
 MAX_BATCH_BYTES = 512 * 1024
 BACKOFF_S = 0.1
 MAX_BACKOFF_S = 3.0
-AHEAD_CHECK_S = 0.02
+AHEAD_POLL_S = 0.02
 # The share of the budget that background work leaves to operators and actions.
-RESERVED = 0.2
+RESERVED_FRACTION = 0.2
 
 
-class Pending:
+class PendingRecord:
     """A record on its way: queued, appended, and folded when ``verdict`` is set."""
 
     def __init__(self, *, record: Record, size: int, purpose: Purpose) -> None:
@@ -44,7 +44,7 @@
         return PlatformError(code=status_codes.LOG_UNAVAILABLE, detail=detail)
 
 
-class Budget:
+class AppendBudget:
     """A token bucket of appends a second.
 
     :param per_s: tokens a second; the bucket holds one second's worth.
@@ -55,15 +55,15 @@
         self.per_s = per_s
         self.clock = clock
         self._tokens = per_s
-        self._filled = clock.monotonic()
+        self._filled_at = clock.monotonic()
 
-    def wait_s(self, purpose: Purpose) -> float:
+    def try_take(self, purpose: Purpose) -> float:
         """Take a token, or tell the seconds until there is one for this purpose."""
         now = self.clock.monotonic()
-        self._tokens = min(self.per_s, self._tokens + (now - self._filled) * self.per_s)
-        self._filled = now
-        kept = self.per_s * RESERVED if purpose == "background" else 0.0
-        missing = 1.0 + kept - self._tokens
+        self._tokens = min(self.per_s, self._tokens + (now - self._filled_at) * self.per_s)
+        self._filled_at = now
+        reserved = self.per_s * RESERVED_FRACTION if purpose == "background" else 0.0
+        missing = 1.0 + reserved - self._tokens
         if missing > 0:
             return missing / self.per_s
         self._tokens -= 1.0
@@ -78,7 +78,7 @@
     :param appends_per_s: the budget of appends.
     :param timeout_s: seconds to wait for own records to turn up before they are appended again.
     :param clock: the clocks to read.
-    :param seen: tells how many records this daemon has folded.
+    :param get_offset: tells how many records this daemon has folded.
     """
 
     def __init__(
@@ -89,35 +89,35 @@
         appends_per_s: float,
         timeout_s: float,
         clock: Clock,
-        seen: Callable[[], int],
+        get_offset: Callable[[], int],
     ) -> None:
         self.platform = platform
         self.stream = stream
         self.timeout_s = timeout_s
         self.clock = clock
-        self.seen = seen
-        self.budget = Budget(per_s=appends_per_s, clock=clock)
-        self.pending_by_id: dict[str, Pending] = {}
-        self._queues: dict[Purpose, deque[Pending]] = {
+        self.get_offset = get_offset
+        self.budget = AppendBudget(per_s=appends_per_s, clock=clock)
+        self.pending_by_id: dict[str, PendingRecord] = {}
+        self._queues: dict[Purpose, deque[PendingRecord]] = {
             "operators": deque(),
             "actions": deque(),
             "background": deque(),
         }
-        self._wake = asyncio.Event()
+        self._queued = asyncio.Event()
         self._failures = 0
-        self._end = 0
+        self._appended_end = 0
 
-    def find(self, record: Record, purpose: Purpose, size: int) -> Pending:
+    def find_or_enqueue(self, record: Record, purpose: Purpose, size: int) -> PendingRecord:
         """The record on its way under this id, queued now if there is none."""
         pending = self.pending_by_id.get(record["id"])
         if pending is None:
-            pending = Pending(record=record, size=size, purpose=purpose)
+            pending = PendingRecord(record=record, size=size, purpose=purpose)
             self.pending_by_id[record["id"]] = pending
             self._queues[purpose].append(pending)
-            self._wake.set()
+            self._queued.set()
         return pending
 
-    def drop(self, pending: Pending) -> None:
+    def drop(self, pending: PendingRecord) -> None:
         """Give a record up; one that is in flight may still be appended."""
         self.pending_by_id.pop(pending.record["id"], None)
         pending.verdict.cancel()
@@ -128,10 +128,10 @@
         if pending is not None and not pending.verdict.done():
             pending.verdict.set_result(verdict)
 
-    def resolve_all(self, decided: Callable[[str], Verdict | None]) -> None:
+    def resolve_all(self, verdict_for: Callable[[str], Verdict | None]) -> None:
         """Tell the waiting writers what a state taken over from elsewhere says."""
         for record_id in list(self.pending_by_id):
-            verdict = decided(record_id)
+            verdict = verdict_for(record_id)
             if verdict is not None:
                 self.resolve(record_id, verdict)
 
@@ -140,23 +140,23 @@
         while True:
             purpose = self._next_purpose()
             if purpose is None:
-                self._wake.clear()
-                await self._wake.wait()
+                self._queued.clear()
+                await self._queued.wait()
                 continue
-            wait_s = AHEAD_CHECK_S if self._is_ahead() else self.budget.wait_s(purpose)
+            wait_s = AHEAD_POLL_S if self._is_too_far_ahead() else self.budget.try_take(purpose)
             if wait_s > 0:
                 await self.clock.sleep(wait_s)
                 continue
             await self._append(self._next_batch())
 
-    def _is_ahead(self) -> bool:
+    def _is_too_far_ahead(self) -> bool:
         """Whether too much of what was appended here isn't folded yet.
 
         A burst of thousands of records would else run ahead of the reader by more than the fold
         remembers ids, and its last records would be turned down as too old. A sixteenth and a
         batch for each of eight daemons is less than all that is remembered.
         """
-        return self._end - self.seen() > states.REMEMBERED_IDS // 16
+        return self._appended_end - self.get_offset() > states.REMEMBERED_IDS // 16
 
     def _next_purpose(self) -> Purpose | None:
         for purpose, queue in self._queues.items():
@@ -166,8 +166,8 @@
                 return purpose
         return None
 
-    def _next_batch(self) -> list[Pending]:
-        batch: list[Pending] = []
+    def _next_batch(self) -> list[PendingRecord]:
+        batch: list[PendingRecord] = []
         size = 0
         for queue in self._queues.values():
             while queue and len(batch) < MAX_BATCH_RECORDS:
@@ -179,7 +179,7 @@
                     size += pending.size
         return batch
 
-    async def _append(self, batch: list[Pending]) -> None:
+    async def _append(self, batch: list[PendingRecord]) -> None:
         """Append a batch; whatever may not have reached the log is queued again.
 
         A lost answer leaves it open whether the batch stands on the log. Own records are looked
@@ -189,34 +189,34 @@
         values: list[Any] = [pending.record for pending in batch]
         started = self.clock.monotonic()
         # Set before the call: cancelled in the middle of it, the append may yet take effect.
-        before = [pending.may_be_appended for pending in batch]
+        earlier = [pending.may_be_appended for pending in batch]
         for pending in batch:
             if not pending.may_be_appended:
                 # As late as can be: a record that waited behind thousands would be too old.
-                pending.record["seen"] = self.seen()
+                pending.record["seen"] = self.get_offset()
             pending.may_be_appended = True
         try:
             first = await self.platform.append(self.stream, values)
         except AnswerLost as exc:
-            await self._failed(batch, exc, look_s=self.timeout_s)
+            await self._handle_failure(batch, exc, read_back_s=self.timeout_s)
         except PlatformError as exc:
-            for pending, was in zip(batch, before, strict=True):
-                pending.may_be_appended = was
+            for pending, earlier_value in zip(batch, earlier, strict=True):
+                pending.may_be_appended = earlier_value
             if exc.code is status_codes.PLATFORM_REFUSED:
-                await self._refused(batch, exc)
+                await self._handle_refusal(batch, exc)
             else:
-                await self._failed(batch, exc, look_s=0.0)
+                await self._handle_failure(batch, exc, read_back_s=0.0)
         except asyncio.CancelledError:
-            self._queue_again(batch)
+            self._requeue(batch)
             raise
         else:
             self._failures = 0
-            self._end = first + len(batch)
+            self._appended_end = first + len(batch)
             for pending in batch:
                 metrics.log_appends.add(1, {"purpose": pending.purpose})
         metrics.log_append_duration.record(self.clock.monotonic() - started)
 
-    async def _refused(self, batch: list[Pending], exc: PlatformError) -> None:
+    async def _handle_refusal(self, batch: list[PendingRecord], exc: PlatformError) -> None:
         """Append each by itself, so that one the log won't take doesn't hold up the others."""
         if len(batch) == 1:
             self.pending_by_id.pop(batch[0].record["id"], None)
@@ -226,21 +226,23 @@
         for pending in batch:
             await self._append([pending])
 
-    async def _failed(self, batch: list[Pending], exc: MustardgapError, *, look_s: float) -> None:
+    async def _handle_failure(
+        self, batch: list[PendingRecord], exc: MustardgapError, *, read_back_s: float
+    ) -> None:
         metrics.log_errors.add(1, {"call": "append"})
         for pending in batch:
             pending.error = exc.detail
         self._failures += 1
         limit = min(MAX_BACKOFF_S, BACKOFF_S * 2.0 ** min(self._failures, 10))
-        open_ones = [p.verdict for p in batch if not p.verdict.done()]
+        unresolved = [p.verdict for p in batch if not p.verdict.done()]
         try:
-            if look_s and open_ones:
-                await asyncio.wait(open_ones, timeout=look_s)
+            if read_back_s and unresolved:
+                await asyncio.wait(unresolved, timeout=read_back_s)
             await self.clock.sleep(random.uniform(0, limit))
         finally:
-            self._queue_again(batch)
+            self._requeue(batch)
 
-    def _queue_again(self, batch: list[Pending]) -> None:
+    def _requeue(self, batch: list[PendingRecord]) -> None:
         for pending in reversed(batch):
             if not pending.verdict.done():
                 self._queues[pending.purpose].appendleft(pending)
--- a/mustardgap/claim_logs.py
+++ b/mustardgap/claim_logs.py
@@ -8,7 +8,7 @@
 from absl import logging
 
 from . import cancellations, metrics
-from .appends import Budget
+from .appends import AppendBudget
 from .claims import ClaimRecord, KeyRecord, Ledger
 from .exceptions import AnswerLost, LogExpired, PlatformError
 from .models import Page
@@ -124,13 +124,13 @@
         return ""
 
     async def _append_on(self) -> None:
-        budget = Budget(per_s=self.settings.requests.claim_appends_per_s, clock=self.clock)
+        budget = AppendBudget(per_s=self.settings.requests.claim_appends_per_s, clock=self.clock)
         while True:
             await self._queued.wait()
             await self._linger()
             while len(self._appends) >= MAX_APPENDS:
                 await asyncio.wait(self._appends, return_when=asyncio.FIRST_COMPLETED)
-            while (wait_s := budget.wait_s("actions")) > 0.0:
+            while (wait_s := budget.try_take("actions")) > 0.0:
                 await self.clock.sleep(wait_s)
             batch, self._queue = self._queue[:MAX_BATCH], self._queue[MAX_BATCH:]
             if not self._queue:
--- a/mustardgap/daemons.py
+++ b/mustardgap/daemons.py
@@ -171,7 +171,7 @@
         known = members.electorate()
         reachable = known & {m.host for m in members.live()}
         return log.current and current(
-            age_s=log.fresh_s(),
+            age_s=log.seconds_since_confirmed(),
             stale_after_s=self.settings.platform.stale_after_s,
             reachable=len(reachable),
             known=len(known),
--- a/mustardgap/enrolments.py
+++ b/mustardgap/enrolments.py
@@ -49,7 +49,7 @@
     async def run(self) -> None:
         """Write the records that are due, until cancelled."""
         while True:
-            if self.log.current and self.log.fresh_s() <= self._stale_s:
+            if self.log.current and self.log.seconds_since_confirmed() <= self._stale_s:
                 await self._look()
             await self.clock.sleep(LOOK_S)
 
--- a/mustardgap/logs.py
+++ b/mustardgap/logs.py
@@ -16,9 +16,9 @@
 from .timers import Clock
 
 LINES_PER_S = 5.0
-BURST = 200
-MAX_TEXT = 1000
-FRAMES = 5
+BURST_LINES = 200
+MAX_TEXT_LENGTH = 1000
+MAX_FRAMES = 5
 
 # The lines of grpc's core aren't pairs, and what they tell is raised as errors too. The core reads
 # this once, when it is first imported.
@@ -46,11 +46,11 @@
             "level": record.levelname.lower(),
             "host": self.host,
             "part": record.module,
-            "text": _quoted(record.getMessage()),
+            "text": _quote(record.getMessage()),
         }
         if record.exc_info and record.exc_info[1] is not None:
-            pairs["error"] = _quoted(f"{type(record.exc_info[1]).__name__}: {record.exc_info[1]}")
-            pairs["at"] = _quoted(_frames(record.exc_info[1]))
+            pairs["error"] = _quote(f"{type(record.exc_info[1]).__name__}: {record.exc_info[1]}")
+            pairs["at"] = _quote(_format_frames(record.exc_info[1]))
         suppressed = getattr(record, "suppressed", 0)
         if suppressed:
             pairs["suppressed"] = str(suppressed)
@@ -70,21 +70,21 @@
     """
 
     def __init__(
-        self, *, clock: Clock | None = None, per_s: float = LINES_PER_S, burst: int = BURST
+        self, *, clock: Clock | None = None, per_s: float = LINES_PER_S, burst: int = BURST_LINES
     ) -> None:
         super().__init__()
         self.clock = clock or Clock()
         self.per_s = per_s
         self.burst = burst
         self._tokens = float(burst)
-        self._at = self.clock.monotonic()
+        self._filled_at = self.clock.monotonic()
         self._suppressed = 0
 
     def filter(self, record: python_logging.LogRecord) -> bool:
         """Whether the record is written."""
         now = self.clock.monotonic()
-        self._tokens = min(self.burst, self._tokens + (now - self._at) * self.per_s)
-        self._at = now
+        self._tokens = min(self.burst, self._tokens + (now - self._filled_at) * self.per_s)
+        self._filled_at = now
         if self._tokens < 1:
             self._suppressed += 1
             metrics.log_lines.add(1, {"result": "suppressed"})
@@ -116,14 +116,14 @@
         python_logging.getLogger(name).setLevel(python_logging.ERROR)
 
 
-def _frames(exc: BaseException) -> str:
-    frames = traceback.extract_tb(exc.__traceback__)[-FRAMES:]
+def _format_frames(exc: BaseException) -> str:
+    frames = traceback.extract_tb(exc.__traceback__)[-MAX_FRAMES:]
     return " < ".join(
         f"{os.path.basename(frame.filename)}:{frame.lineno} {frame.name}"
         for frame in reversed(frames)
     )
 
 
-def _quoted(text: str) -> str:
+def _quote(text: str) -> str:
     # Escaped down to ASCII: line separators and control characters have no other safe form.
-    return json.dumps(text[:MAX_TEXT])
+    return json.dumps(text[:MAX_TEXT_LENGTH])
--- a/mustardgap/observers.py
+++ b/mustardgap/observers.py
@@ -17,7 +17,7 @@
 ) -> None:
     """Let the metrics read these parts of the daemon."""
     metrics.observe("mustardgap.log.offset", lambda: log.offset)
-    metrics.observe("mustardgap.log.age", log.fresh_s)
+    metrics.observe("mustardgap.log.age", log.seconds_since_confirmed)
     metrics.observe("mustardgap.members.live", lambda: len(members.live()))
     metrics.observe("mustardgap.ready", lambda: int(readiness.ready))
     metrics.observe("mustardgap.peers.sent", lambda: peers.sent_bytes)
--- a/mustardgap/operations.py
+++ b/mustardgap/operations.py
@@ -92,7 +92,7 @@
         prevents them before they start.
         """
         self.timers.check_gap()
-        age = max(self.log.fresh_s(), self.workers.age_s())
+        age = max(self.log.seconds_since_confirmed(), self.workers.age_s())
         since_gap = self.timers.clock.monotonic() - self._last_gap_at
         return age <= self.settings.platform.stale_after_s and age < since_gap
 
--- a/mustardgap/operator_views.py
+++ b/mustardgap/operator_views.py
@@ -149,7 +149,7 @@
         "ready": readiness.ready,
         "why_not_ready": readiness.reason,
         "offset": operators.log.offset,
-        "fresh_s": _finite(operators.log.fresh_s()),
+        "fresh_s": _finite(operators.log.seconds_since_confirmed()),
         "uptime_s": operators.timeline.clock.monotonic() - operators.started,
         "services": operators.services_view(),
         "listed": sorted(operators.members.listed_hosts),
--- a/mustardgap/operator_writes.py
+++ b/mustardgap/operator_writes.py
@@ -34,7 +34,7 @@
 
     def _timeout_s(self) -> float:
         stale_after_s = self.operators.settings.platform.stale_after_s
-        is_out = self.log.fresh_s() > stale_after_s
+        is_out = self.log.seconds_since_confirmed() > stale_after_s
         return OUTAGE_TIMEOUT_S if is_out else WRITE_TIMEOUT_S
 
 
--- a/mustardgap/parts.py
+++ b/mustardgap/parts.py
@@ -195,7 +195,7 @@
         """Return whether the state is current by what was learned since a monotonic time."""
         now = self.timers.clock.monotonic()
         return self.log.current and knows(
-            known_at=now - self.log.fresh_s(),
+            known_at=now - self.log.seconds_since_confirmed(),
             now=now,
             since=since,
             stale_after_s=self.settings.platform.stale_after_s,
--- a/mustardgap/relays.py
+++ b/mustardgap/relays.py
@@ -90,13 +90,13 @@
             # It no longer keeps the next record one by one.
             await self._ask_snapshot(peer)
         age_s = reply.age_s + self.clock.monotonic() - started
-        self.log.witness(reply.end, age_s)
+        self.log.confirm_current(reply.end, age_s)
         return self.log.offset > before
 
     def _may_miss(self) -> bool:
         if self.log.why_not_current is status_codes.RULES_TOO_NEW:
             return False
-        if not self.log.current or self.log.fresh_s() > self.stale_after_s / 2:
+        if not self.log.current or self.log.seconds_since_confirmed() > self.stale_after_s / 2:
             return True
         ahead = any(m.offset > self.log.offset for m in self.members.live())
         # One check later, so that the log's own answer has had its time.
@@ -144,7 +144,7 @@
             first=message.first,
             records=found,
             end=self.log.offset,
-            age_s=self.log.fresh_s(),
+            age_s=self.log.seconds_since_confirmed(),
         )
 
     async def _give_snapshot(self, member: Member, message: SnapshotAsk) -> Snapshot:
--- a/mustardgap/snapshots.py
+++ b/mustardgap/snapshots.py
@@ -12,7 +12,7 @@
 
 FORMAT = 1
 MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024
-COMPRESSION = 6
+COMPRESSION_LEVEL = 6
 
 
 class Snapshot(msgspec.Struct, kw_only=True):
@@ -51,7 +51,7 @@
 
 def compress(packed: bytes) -> bytes:
     """Compress a packed state; it may run in a thread, as zlib lets others run meanwhile."""
-    return zlib.compress(packed, COMPRESSION)
+    return zlib.compress(packed, COMPRESSION_LEVEL)
 
 
 def pack(state: State) -> bytes:
@@ -94,10 +94,10 @@
         snapshot = msgspec.msgpack.decode(raw, type=Snapshot)
     except (zlib.error, msgspec.DecodeError) as exc:
         raise RecordRejected(code=status_codes.RECORD_INVALID, detail=str(exc)) from None
-    return _state(snapshot)
+    return _restore_state(snapshot)
 
 
-def _state(snapshot: Snapshot) -> State:
+def _restore_state(snapshot: Snapshot) -> State:
     state = State()
     state.offset = snapshot.offset
     state.time = snapshot.time
@@ -105,7 +105,7 @@
     state.floor = snapshot.floor
     state.sweep = snapshot.sweep
     state.checkpoint_offset, state.checkpoint_time = snapshot.checkpoint
-    state.put_declarations((Declaration(*parts) for parts in snapshot.declarations), [])
+    state.put_declarations((Declaration(*fields) for fields in snapshot.declarations), [])
     for host in snapshot.hosts:
         state.put_host(host)
     for job in snapshot.jobs:
--- a/mustardgap/streams.py
+++ b/mustardgap/streams.py
@@ -25,7 +25,7 @@
 from .timers import Timers
 
 PAGE_RECORDS = 1000
-RECENT_RECORDS = 2000
+MAX_RECENT_RECORDS = 2000
 BACKOFF_S = 0.1
 MAX_BACKOFF_S = 3.0
 FOLD_SLICE_S = 0.005
@@ -66,16 +66,16 @@
             appends_per_s=settings.appends_per_s,
             timeout_s=settings.timeout_s,
             clock=self.clock,
-            seen=lambda: self.offset,
+            get_offset=lambda: self.offset,
         )
         self.checkpoints = Checkpoints(
             platform=platform, settings=settings, clock=self.clock, log=self
         )
         self.why_not_current: Code | None = status_codes.LOG_UNAVAILABLE
-        self._known_at = -math.inf
+        self._confirmed_at = -math.inf
         self._callbacks: list[FoldCallback] = []
         self._restore_callbacks: list[Callable[[], None]] = []
-        self._recent: deque[LogRecord] = deque(maxlen=RECENT_RECORDS)
+        self._recent: deque[LogRecord] = deque(maxlen=MAX_RECENT_RECORDS)
         self._failures = 0
 
     @property
@@ -88,9 +88,9 @@
         """Whether all that was decided ``fresh_s`` ago is folded here."""
         return self.why_not_current is None
 
-    def fresh_s(self) -> float:
+    def seconds_since_confirmed(self) -> float:
         """Seconds since this daemon last knew that it had folded all there was; may be infinite."""
-        return self.clock.monotonic() - self._known_at
+        return self.clock.monotonic() - self._confirmed_at
 
     def on_fold(self, callback: FoldCallback) -> None:
         """Call back with each folded record and its verdict, in offset order."""
@@ -104,7 +104,7 @@
         """Read, fold and append until cancelled."""
         # A group passes over a task that ends by a cancellation; the others would go on alone.
         async with asyncio.TaskGroup() as group:
-            for part in (self._read_on, self.appender.run, self.checkpoints.run):
+            for part in (self._read_and_fold, self.appender.run, self.checkpoints.run):
                 group.create_task(cancellations.run_part(part))
 
     async def write(
@@ -139,7 +139,7 @@
         if before is not None:
             return before
         size = len(msgspec.json.encode(record))
-        pending = self.appender.find(record, purpose, size)
+        pending = self.appender.find_or_enqueue(record, purpose, size)
         pending.waiters += 1
         try:
             done, _ = await asyncio.wait([pending.verdict], timeout=timeout_s)
@@ -169,13 +169,13 @@
                 break
         return self.offset - before
 
-    def witness(self, offset: int, age_s: float) -> None:
+    def confirm_current(self, offset: int, age_s: float) -> None:
         """Take in that a peer had folded all there was, up to an offset, some seconds ago."""
         at = self.clock.monotonic() - age_s
         # Neither is mended by a peer: it may know less of rules, or have read the same log.
-        stuck = self.why_not_current in (status_codes.RULES_TOO_NEW, status_codes.LOG_WENT_BACK)
-        if self.offset >= offset and at > self._known_at and not stuck:
-            self._know(at)
+        is_stuck = self.why_not_current in (status_codes.RULES_TOO_NEW, status_codes.LOG_WENT_BACK)
+        if self.offset >= offset and at > self._confirmed_at and not is_stuck:
+            self._confirm(at)
 
     def recent(self, start: int, *, limit: int = PAGE_RECORDS) -> list[LogRecord]:
         """The latest folded records from an offset on, for a peer that misses them.
@@ -208,17 +208,17 @@
             callback()
         return True
 
-    async def _read_on(self) -> None:
+    async def _read_and_fold(self) -> None:
         if self.offset == 0:
             # The newest checkpoint spares most of the reading; without one the log has it all.
-            await self._catch_up()
+            await self._restore_checkpoint()
         while True:
             started, start = self.clock.monotonic(), self.offset
             try:
                 page = await self._read_page()
             except LogExpired:
-                self._not_current(status_codes.LOG_EXPIRED)
-                if not await self._catch_up():
+                self._set_not_current(status_codes.LOG_EXPIRED)
+                if not await self._restore_checkpoint():
                     await self._back_off()
                 continue
             except PlatformError as exc:
@@ -228,10 +228,10 @@
                 await self._back_off()
                 continue
             if page.end < start:
-                await self._went_back()
+                await self._handle_lost_records()
                 continue
             self._failures = 0
-            await self._take(page, started)
+            await self._fold_page(page, started)
 
     async def _read_page(self) -> Page:
         # Half of the bound: an answer without a record is what shows that nothing is missed.
@@ -240,7 +240,7 @@
             self.settings.stream, self.offset, limit=PAGE_RECORDS, wait_s=wait_s
         )
 
-    async def _take(self, page: Page, started: float) -> None:
+    async def _fold_page(self, page: Page, started: float) -> None:
         metrics.log_reads.add(len(page.records))
         slice_end = self.clock.monotonic() + FOLD_SLICE_S
         for record in page.records:
@@ -252,15 +252,15 @@
                 await asyncio.sleep(0)
                 slice_end = self.clock.monotonic() + FOLD_SLICE_S
         if self.offset >= page.end:
-            self._know(started)
+            self._confirm(started)
         self.checkpoints.oldest = page.oldest
 
-    async def _went_back(self) -> None:
+    async def _handle_lost_records(self) -> None:
         """Refuse a log that has lost records: its new ones would be decided on other grounds."""
-        self._not_current(status_codes.LOG_WENT_BACK)
+        self._set_not_current(status_codes.LOG_WENT_BACK)
         await self._back_off()
 
-    async def _catch_up(self) -> bool:
+    async def _restore_checkpoint(self) -> bool:
         """Go on from the newest checkpoint on the log, if it is newer than the own state."""
         try:
             loaded = await self.checkpoints.load()
@@ -268,7 +268,7 @@
         except PlatformError:
             return False
         except RecordRejected as exc:
-            self._not_current(exc.code)
+            self._set_not_current(exc.code)
             return False
 
     def _fold(self, record: LogRecord) -> bool:
@@ -280,7 +280,7 @@
             return True
         verdict = folds.fold(self.state, record)
         if record.offset == self.offset:
-            self._not_current(status_codes.RULES_TOO_NEW)
+            self._set_not_current(status_codes.RULES_TOO_NEW)
             return False
         self._recent.append(record)
         code = status_codes.OK if isinstance(verdict, Accepted) else verdict.code
@@ -294,8 +294,8 @@
         record_id = str(value.get("id", ""))
         is_copy = code is status_codes.DUPLICATE_RECORD
         # The writer of a second copy hears of the first; nobody else may act on it twice.
-        first = folds.earlier_verdict(self.state, record_id) if is_copy else None
-        self.appender.resolve(record_id, first or verdict)
+        first_verdict = folds.earlier_verdict(self.state, record_id) if is_copy else None
+        self.appender.resolve(record_id, first_verdict or verdict)
         for callback in self._callbacks:
             try:
                 callback(record, verdict)
@@ -304,13 +304,13 @@
                 logging.exception("a callback failed at offset %d", record.offset)
         return True
 
-    def _know(self, at: float) -> None:
-        self._known_at = max(self._known_at, at)
+    def _confirm(self, at: float) -> None:
+        self._confirmed_at = max(self._confirmed_at, at)
         if self.why_not_current is not None:
             self.why_not_current = None
             self.timeline.add("log.current", offset=self.offset)
 
-    def _not_current(self, code: Code) -> None:
+    def _set_not_current(self, code: Code) -> None:
         if self.why_not_current is not code:
             self.why_not_current = code
             self.timeline.add("log.behind", offset=self.offset, cause=code.title)
