--- a/mustardgap/appends.py
+++ b/mustardgap/appends.py
@@ -1,4 +1,4 @@
-"""Writing to the state stream: batches, a budget of appends, and answers that get lost."""
+"""Appends to the state stream: batches, a rate limit, and lost answers."""
 
 import asyncio
 import random
@@ -20,12 +20,12 @@
 BACKOFF_S = 0.1
 MAX_BACKOFF_S = 3.0
 AHEAD_POLL_S = 0.02
-# The share of the budget that background work leaves to operators and actions.
+# The fraction of the budget that background work leaves to operators and actions.
 RESERVED_FRACTION = 0.2
 
 
 class PendingRecord:
-    """A record on its way: queued, appended, and folded when ``verdict`` is set."""
+    """A record that is queued or appended; it is folded when ``verdict`` is set."""
 
     def __init__(self, *, record: Record, size: int, purpose: Purpose) -> None:
         self.record = record
@@ -37,7 +37,7 @@
         self.error = ""
 
     def failure(self) -> MustardgapError:
-        """The truth about a record whose verdict didn't come in time."""
+        """Return the error for a record without a verdict in time."""
         if self.may_be_appended:
             return AnswerLost(detail=self.error or "appended, but not read back in time")
         detail = self.error or "no append was tried in time"
@@ -45,9 +45,9 @@
 
 
 class AppendBudget:
-    """A token bucket of appends a second.
+    """A token bucket that limits appends per second.
 
-    :param per_s: tokens a second; the bucket holds one second's worth.
+    :param per_s: tokens per second; the bucket holds the tokens of one second.
     :param clock: the clock to read.
     """
 
@@ -58,7 +58,7 @@
         self._filled_at = clock.monotonic()
 
     def try_take(self, purpose: Purpose) -> float:
-        """Take a token, or tell the seconds until there is one for this purpose."""
+        """Take a token and return 0, or return seconds until one is free for this purpose."""
         now = self.clock.monotonic()
         self._tokens = min(self.per_s, self._tokens + (now - self._filled_at) * self.per_s)
         self._filled_at = now
@@ -71,14 +71,14 @@
 
 
 class Appender:
-    """Appends records, one append in flight; what waits meanwhile goes into the next batch.
+    """Appends records in batches, with one append in flight.
 
     :param platform: the log.
     :param stream: the stream's name.
     :param appends_per_s: the budget of appends.
-    :param timeout_s: seconds to wait for own records to turn up before they are appended again.
+    :param timeout_s: seconds to wait until own records are read before they are appended again.
     :param clock: the clocks to read.
-    :param get_offset: tells how many records this daemon has folded.
+    :param get_offset: returns the offset that this daemon has folded up to.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         self._appended_end = 0
 
     def find_or_enqueue(self, record: Record, purpose: Purpose, size: int) -> PendingRecord:
-        """The record on its way under this id, queued now if there is none."""
+        """Return the pending record with this id, queued now if there is none."""
         pending = self.pending_by_id.get(record["id"])
         if pending is None:
             pending = PendingRecord(record=record, size=size, purpose=purpose)
@@ -118,25 +118,25 @@
         return pending
 
     def drop(self, pending: PendingRecord) -> None:
-        """Give a record up; one that is in flight may still be appended."""
+        """Drop a record; one that is in flight may still be appended."""
         self.pending_by_id.pop(pending.record["id"], None)
         pending.verdict.cancel()
 
     def resolve(self, record_id: str, verdict: Verdict) -> None:
-        """Tell the waiting writer what the fold decided."""
+        """Pass the fold's verdict to the waiting writers."""
         pending = self.pending_by_id.pop(record_id, None)
         if pending is not None and not pending.verdict.done():
             pending.verdict.set_result(verdict)
 
     def resolve_all(self, verdict_for: Callable[[str], Verdict | None]) -> None:
-        """Tell the waiting writers what a state taken over from elsewhere says."""
+        """Pass the verdicts of a restored state to the waiting writers."""
         for record_id in list(self.pending_by_id):
             verdict = verdict_for(record_id)
             if verdict is not None:
                 self.resolve(record_id, verdict)
 
     async def run(self) -> None:
-        """Append what is queued until cancelled."""
+        """Append queued records until cancelled."""
         while True:
             purpose = self._next_purpose()
             if purpose is None:
@@ -150,11 +150,11 @@
             await self._append(self._next_batch())
 
     def _is_too_far_ahead(self) -> bool:
-        """Whether too much of what was appended here isn't folded yet.
+        """Return whether too many records appended here aren't folded yet.
 
-        A burst of thousands of records would else run ahead of the reader by more than the fold
-        remembers ids, and its last records would be turned down as too old. A sixteenth and a
-        batch for each of eight daemons is less than all that is remembered.
+        Otherwise, a burst of thousands of records would run ahead of the reader by more than the
+        remembered ids, and its last records would be rejected as too old. A sixteenth of these ids
+        and a batch for each of eight daemons is less than all remembered ids.
         """
         return self._appended_end - self.get_offset() > states.REMEMBERED_IDS // 16
 
@@ -180,19 +180,19 @@
         return batch
 
     async def _append(self, batch: list[PendingRecord]) -> None:
-        """Append a batch; whatever may not have reached the log is queued again.
+        """Append a batch, and queue records again that may not have reached the log.
 
-        A lost answer leaves it open whether the batch stands on the log. Own records are looked
-        for in what is read, for a bounded time; then they are appended again under the same ids.
-        A second copy is dropped by the fold, so at worst it costs its place on the log.
+        After a lost answer it is unknown whether the batch is on the log. The appender waits a
+        bounded time for the reader to fold its records, then appends them again with the same ids.
+        The fold drops a second copy, so at worst it costs its space on the log.
         """
         values: list[Any] = [pending.record for pending in batch]
         started = self.clock.monotonic()
-        # Set before the call: cancelled in the middle of it, the append may yet take effect.
+        # This is set before the call, as a cancelled append may still take effect.
         earlier = [pending.may_be_appended for pending in batch]
         for pending in batch:
             if not pending.may_be_appended:
-                # As late as can be: a record that waited behind thousands would be too old.
+                # Set as late as possible, or a record queued behind thousands would be too old.
                 pending.record["seen"] = self.get_offset()
             pending.may_be_appended = True
         try:
@@ -217,7 +217,7 @@
         metrics.log_append_duration.record(self.clock.monotonic() - started)
 
     async def _handle_refusal(self, batch: list[PendingRecord], exc: PlatformError) -> None:
-        """Append each by itself, so that one the log won't take doesn't hold up the others."""
+        """Append each record alone, so that one that the log refuses doesn't block the others."""
         if len(batch) == 1:
             self.pending_by_id.pop(batch[0].record["id"], None)
             if not batch[0].verdict.done():
--- a/mustardgap/logs.py
+++ b/mustardgap/logs.py
@@ -1,7 +1,7 @@
-"""Log lines: absl.logging as ``key=value`` lines on stderr, at a bounded rate.
+"""Logging by absl.logging, as ``key=value`` lines on stderr at a bounded rate.
 
-What happens often is counted in ``metrics``. Lines tell of changes of state and of faults; they
-hold no bodies of requests and no keys.
+Frequent events are counted in ``metrics``. Lines report state changes and faults; they contain no
+request bodies and no keys.
 """
 
 import json
@@ -20,18 +20,18 @@
 MAX_TEXT_LENGTH = 1000
 MAX_FRAMES = 5
 
-# The lines of grpc's core aren't pairs, and what they tell is raised as errors too. The core reads
+# The lines of grpc's core aren't pairs, and their faults are raised as errors too. The core reads
 # this once, when it is first imported.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
-# Tornado notes each malformed request and grpc each broken stream; both are counted by us.
+# Tornado logs each malformed request and grpc each broken stream; metrics count both.
 QUIET_LOGGERS = ("tornado.access", "tornado.general", "grpc", "asyncio")
 
 
 class LineFormatter(python_logging.Formatter):
     """Formats a record as one line of ``key=value`` pairs, tracebacks included.
 
-    :param host: the host's name, for where lines of many hosts are collected.
+    :param host: the host's name, which identifies its lines among those of many hosts.
     """
 
     def __init__(self, *, host: str) -> None:
@@ -39,7 +39,7 @@
         self.host = host
 
     def format(self, record: python_logging.LogRecord) -> str:
-        """The line for a record."""
+        """Return the line for a record."""
         time = datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
         pairs = {
             "time": time.replace("+00:00", "Z"),
@@ -58,15 +58,15 @@
 
 
 class RateFilter(python_logging.Filter):
-    """Lets lines through at a bounded rate and counts the others.
+    """Passes lines at a bounded rate and counts the suppressed ones.
 
-    A fault that repeats with each request would fill the disk of whatever collects the lines, and
-    writing them would slow the daemon just when it has trouble. The next line that passes says how
-    many were left out, so that a silence isn't taken for health.
+    A fault that repeats with each request would fill the log collector's disk, and writing the
+    lines would slow the daemon during the fault. The next line that passes has the number of
+    suppressed lines, so that the absence of lines isn't mistaken for health.
 
     :param clock: the clocks to read.
-    :param per_s: lines a second in the long run.
-    :param burst: lines at once after a silence.
+    :param per_s: lines per second in the long run.
+    :param burst: lines at once after an idle period.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self._suppressed = 0
 
     def filter(self, record: python_logging.LogRecord) -> bool:
-        """Whether the record is written."""
+        """Return whether the record is written."""
         now = self.clock.monotonic()
         self._tokens = min(self.burst, self._tokens + (now - self._filled_at) * self.per_s)
         self._filled_at = now
@@ -102,7 +102,7 @@
     :param host: this host's name.
     :param verbosity: -3 fatal only, -2 errors, -1 warnings, 0 information, 1 debug.
     """
-    # The settings take the place of absl's own flags, which would be asked for otherwise.
+    # The settings replace absl's own flags, which absl would otherwise expect to be parsed.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(verbosity)
@@ -125,5 +125,5 @@
 
 
 def _quote(text: str) -> str:
-    # Escaped down to ASCII: line separators and control characters have no other safe form.
+    # Everything but ASCII is escaped, as line separators and control characters break lines.
     return json.dumps(text[:MAX_TEXT_LENGTH])
--- a/mustardgap/sessions.py
+++ b/mustardgap/sessions.py
@@ -1,4 +1,4 @@
-"""A request from start to end: its service, key, slot and tries, and its one true outcome."""
+"""Request sessions: the service, key, slot and tries of a request, and its outcome."""
 
 import asyncio
 from collections.abc import Collection
@@ -24,35 +24,38 @@
 
 
 class Slot(Protocol):
-    """A slot of an executor, held while a try runs."""
+    """A slot of an executor, which is held during a try."""
 
     @property
     def executor(self) -> ExecutorView:
-        """The executor whose slot it is."""
+        """Return the executor that the slot belongs to."""
 
 
 class SlotProvider(Protocol):
-    """The sharing of slots."""
+    """Provides slots of executors."""
 
     async def acquire(
         self, service: str, *, deadline: float, urgency: int, exclude: Collection[str]
     ) -> Slot:
-        """Wait for a slot; raises ``SlotRefused`` with the outcome."""
+        """Wait for a slot.
+
+        :raises SlotRefused: with the outcome.
+        """
 
     def release(self, slot: Any) -> None:
-        """Give a slot back."""
+        """Release a slot that ``acquire`` returned."""
 
 
 class Sessions:
-    """What the sessions of all requests share.
+    """Holds what the sessions of all requests share.
 
     :param settings: the daemon's settings.
     :param state: the folded state.
-    :param executors: told how tries went.
-    :param slots: where slots are had.
-    :param keys: claims of Idempotency-Keys.
-    :param upstreams: sends to executors.
-    :param timeline: where unknown outcomes are noted.
+    :param executors: receives the results of tries.
+    :param slots: provides slots of executors.
+    :param keys: claims Idempotency-Keys.
+    :param upstreams: sends requests to executors.
+    :param timeline: records unknown outcomes.
     :param clock: the clocks to read.
     """
 
@@ -79,10 +82,10 @@
         self.budget = RetryBudget(ratio=settings.requests.retry_ratio, clock=self.clock)
 
     def open(self, request: Request, sink: Sink | None = None) -> "Session":
-        """Make the session of a request.
+        """Create the session of a request.
 
-        :param request: the caller's request, whole.
-        :param sink: takes an answer that is too large to be held.
+        :param request: the caller's complete request.
+        :param sink: receives an answer that is too large to buffer.
         """
         return Session(shared=self, request=request, sink=sink)
 
@@ -92,11 +95,11 @@
 
 
 class Session:
-    """One request; its time runs from here.
+    """Handles one request, whose timeout starts when the session is created.
 
     :param shared: what all sessions share.
     :param request: the caller's request.
-    :param sink: takes an answer that is too large to be held.
+    :param sink: receives an answer that is too large to buffer.
     """
 
     def __init__(self, *, shared: Sessions, request: Request, sink: Sink | None) -> None:
@@ -114,13 +117,13 @@
         self._deadline = self.started
         self._task: asyncio.Task[Any] | None = None
         self._tried: set[str] = set()
-        # What is told when no further try can be made: something that an executor did.
+        # The latest outcome other than NotRun; it takes precedence over a later NotRun.
         self._fallback_outcome: Outcome | None = None
 
     async def run(self) -> Outcome:
         """Run the request to its outcome.
 
-        :rtype: Outcome
+        :return: the outcome.
         """
         self._task = asyncio.current_task()
         outcome = await self._run()
@@ -129,18 +132,18 @@
         return outcome
 
     def handle_disconnect(self) -> None:
-        """The caller has gone: stop waiting for it.
+        """Cancel the request because its caller has disconnected.
 
-        A non-idempotent request that an executor may have seen goes on, so that its outcome is
-        known when it is asked for again with its key.
+        A non-idempotent request that may have reached an executor continues, so that its outcome
+        is known when the caller sends it again with its key.
         """
         if self._task is not None and (self._is_idempotent or not self._is_sent):
             self._task.cancel()
 
     def give_up(self, refusal: Code) -> NotRun | Unknown:
-        """The outcome of this request when its handling has ended without one.
+        """Return the outcome of this request if its handling ended without one.
 
-        :param refusal: tells why, when no executor was given the request.
+        :param refusal: the reason, if the request wasn't sent to an executor.
         """
         outcome = self._make_given_up_outcome(refusal)
         self._record_outcome(outcome)
@@ -150,8 +153,8 @@
         if self._is_sent or self._has_outcome:
             return Unknown(code=status_codes.UNKNOWN_GIVEN_UP)
         if self._is_claiming:
-            # An earlier request with this key may have run: sent again without the key, as the
-            # refusal of a request that nothing is known of allows, it could run twice.
+            # An earlier request with this key may have run. ``refusal`` would let the caller
+            # send the request again without the key, and it could run twice.
             refusal = status_codes.KEY_UNDECIDED
         return NotRun(code=refusal, retry_after=judgements.jitter(judgements.RETRY_AFTER_S))
 
@@ -179,7 +182,7 @@
             return NotRun(code=status_codes.TOO_LARGE, detail=detail)
         callers = self.shared.settings.callers
         timeout_s = limits["timeout_s"] if limits else callers.default_timeout_s
-        # Slots of an entry host that is gone come back after the longest that a request may run.
+        # Slots held by a lost entry host are recovered after the maximum run time of a request.
         max_s = limits["timeout_s"] if limits else callers.max_timeout_s
         requested = self.request.headers.get("X-Request-Timeout")
         if requested is not None:
@@ -194,7 +197,7 @@
         return None
 
     async def _run_with_key(self, route: Route) -> Outcome:
-        """Run a request with a key: only when this key hasn't run before."""
+        """Run a request with a key, unless a request with this key has run before."""
         if self.shared.keys is None:
             return NotRun(
                 code=status_codes.KEY_UNDECIDED,
@@ -210,7 +213,7 @@
             outcome = await self._try_all(route)
             return outcome
         finally:
-            # The key needs an end, also when this task has none, by a cancellation or a fault.
+            # The claim must be finished even if a cancellation or an error ends this task.
             outcome = outcome or self._make_given_up_outcome(status_codes.GIVEN_UP_BEFORE_RUN)
             self.shared.keys.finish(claim, outcome)
 
@@ -236,10 +239,10 @@
             metrics.retries.add(1, {"service": self.service})
 
     async def _acquire(self, route: Route) -> Slot:
-        """Get a slot of an executor that suits the request.
+        """Acquire a slot of an executor that suits the request.
 
-        A request that may not be repeated isn't risked on an executor that was just sick, if there
-        is another one.
+        A non-idempotent request isn't sent to an executor that failed recently, if there is
+        another one.
         """
         slot = await self._acquire_any(route)
         executor = slot.executor.executor
@@ -291,8 +294,8 @@
         return judgements.outcome_of(result, executor)
 
     def _count_try(self, result: TryResult) -> None:
-        # When half of the executors vanish at once, the next two may well be gone too. Counted as
-        # tries, these would use up those of a request that the other half could still answer.
+        # If half of the executors vanish at once, the next two may be gone too. If these counted as
+        # tries, a request that the other half could still answer would run out of tries.
         if isinstance(result, NotSent):
             self._unsent_tries += 1
         else:
--- a/mustardgap/snapshots.py
+++ b/mustardgap/snapshots.py
@@ -1,4 +1,4 @@
-"""The state coded as a snapshot, for checkpoints and for peers."""
+"""Snapshots, the encoded state for checkpoints and peers."""
 
 import zlib
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class Snapshot(msgspec.Struct, kw_only=True):
-    """The state as it is coded; indexes are built anew when it is read."""
+    """The encoded form of the state; decoding it rebuilds the indexes."""
 
     format: int
     rules: int
@@ -35,9 +35,9 @@
 
 
 class Header(msgspec.Struct, kw_only=True):
-    """What is read first: a state that was folded with newer rules is refused, not guessed at.
+    """The fields that are decoded first, to reject a state that was folded with newer rules.
 
-    A newer daemon's snapshot can be read as long as no record has asked for the newer rules.
+    A newer daemon's snapshot can be read as long as no record needed the newer rules.
     """
 
     format: int
@@ -45,17 +45,17 @@
 
 
 def encode(state: State) -> bytes:
-    """Code the state as a snapshot."""
+    """Encode the state as a snapshot."""
     return compress(pack(state))
 
 
 def compress(packed: bytes) -> bytes:
-    """Compress a packed state; it may run in a thread, as zlib lets others run meanwhile."""
+    """Compress a packed state; this may run in a thread, as zlib releases the GIL."""
     return zlib.compress(packed, COMPRESSION_LEVEL)
 
 
 def pack(state: State) -> bytes:
-    """Pack the state as it is now."""
+    """Pack the current state."""
     snapshot = Snapshot(
         format=FORMAT,
         rules=state.rules,
@@ -76,11 +76,11 @@
 
 
 def decode(data: bytes) -> State:
-    """Read a snapshot.
+    """Decode a snapshot.
 
-    :param data: what ``encode`` gave.
-    :rtype: State
-    :raises RecordRejected: MG3004 for a newer daemon's, MG3012 for a damaged one.
+    :param data: the result of ``encode``.
+    :return: the state.
+    :raises RecordRejected: MG3004 for newer rules or formats, MG3012 for a damaged snapshot.
     """
     try:
         inflater = zlib.decompressobj()
--- a/mustardgap/streams.py
+++ b/mustardgap/streams.py
@@ -1,4 +1,4 @@
-"""The state stream: read and folded on every daemon, and written to."""
+"""The state stream, which every daemon reads, folds and appends to."""
 
 import asyncio
 import math
@@ -37,10 +37,10 @@
     """Reads the state stream in offset order, folds it, and appends to it.
 
     :param platform: the platform's log.
-    :param state: the state to fold into; ``state`` is replaced when a snapshot is taken over.
+    :param state: the state to fold into; its content is replaced when a snapshot is restored.
     :param settings: the section ``platform``.
     :param timers: the timer service, for its clocks.
-    :param timeline: where changes are noted.
+    :param timeline: records changes.
     :param member: this daemon's name, the writer of its records.
     """
 
@@ -80,29 +80,29 @@
 
     @property
     def offset(self) -> int:
-        """The offset folded up to; the next record has this offset."""
+        """Return the offset of the next record to fold."""
         return self.state.offset
 
     @property
     def current(self) -> bool:
-        """Whether all that was decided ``fresh_s`` ago is folded here."""
+        """Return whether all records up to ``seconds_since_confirmed()`` ago are folded."""
         return self.why_not_current is None
 
     def seconds_since_confirmed(self) -> float:
-        """Seconds since this daemon last knew that it had folded all there was; may be infinite."""
+        """Return seconds since all records were last known to be folded; may be infinite."""
         return self.clock.monotonic() - self._confirmed_at
 
     def on_fold(self, callback: FoldCallback) -> None:
-        """Call back with each folded record and its verdict, in offset order."""
+        """Register a callback for each folded record and its verdict, in offset order."""
         self._callbacks.append(callback)
 
     def on_restore(self, callback: Callable[[], None]) -> None:
-        """Call back when a snapshot has replaced ``state``."""
+        """Register a callback for when a snapshot has replaced the state."""
         self._restore_callbacks.append(callback)
 
     async def run(self) -> None:
-        """Read, fold and append until cancelled."""
-        # A group passes over a task that ends by a cancellation; the others would go on alone.
+        """Read, fold and append records until cancelled."""
+        # A task group ignores a task that ends by a cancellation; the others would run on alone.
         async with asyncio.TaskGroup() as group:
             for part in (self._read_and_fold, self.appender.run, self.checkpoints.run):
                 group.create_task(cancellations.run_part(part))
@@ -121,11 +121,11 @@
         :param kind: the kind of record.
         :param body: its body.
         :param timeout_s: seconds to wait.
-        :param purpose: who it is for; operators go first and background work last.
-        :param record_id: an id of the writer's own; one folded before gives its first verdict.
+        :param purpose: sets the priority: operators are first and background work is last.
+        :param record_id: the writer's own id; an id folded before returns its first verdict.
         :return: the fold's verdict.
-        :raises PlatformError: MG5000, it was certainly not appended.
-        :raises AnswerLost: MG5001, it may be appended and take effect.
+        :raises PlatformError: MG5000, the record was certainly not appended.
+        :raises AnswerLost: MG5001, the record may be appended and take effect.
         """
         record = records.make(
             kind,
@@ -152,16 +152,16 @@
         return pending.verdict.result()
 
     def check(self, kind: str, body: Any) -> Verdict:
-        """What the fold would decide on a record now; nothing is written."""
+        """Return the verdict that the fold would give now, without writing a record."""
         return folds.check(self.state, kind, body)
 
     def receive(self, log_records: Iterable[LogRecord]) -> int:
-        """Fold records that a peer has read, so that a daemon cut off from the log stays current.
+        """Fold records that a peer has read, so that a daemon isolated from the log stays current.
 
-        Only the next record in offset order is taken; after a gap the rest waits for the log or
-        for a peer to send what is missing.
+        Records are folded in offset order only. Those after a gap are dropped, and must be read
+        from the log or sent by a peer again.
 
-        :return: how many were folded.
+        :return: the number of folded records.
         """
         before = self.offset
         for record in log_records:
@@ -170,17 +170,17 @@
         return self.offset - before
 
     def confirm_current(self, offset: int, age_s: float) -> None:
-        """Take in that a peer had folded all there was, up to an offset, some seconds ago."""
+        """Note that a peer had folded all records, up to an offset, ``age_s`` seconds ago."""
         at = self.clock.monotonic() - age_s
-        # Neither is mended by a peer: it may know less of rules, or have read the same log.
+        # A peer can't clear these: it may know fewer rules or have read the same log.
         is_stuck = self.why_not_current in (status_codes.RULES_TOO_NEW, status_codes.LOG_WENT_BACK)
         if self.offset >= offset and at > self._confirmed_at and not is_stuck:
             self._confirm(at)
 
     def recent(self, start: int, *, limit: int = PAGE_RECORDS) -> list[LogRecord]:
-        """The latest folded records from an offset on, for a peer that misses them.
+        """Return recently folded records from an offset on, for a peer that lacks them.
 
-        :return: nothing when ``start`` is older than what is kept; send a snapshot then.
+        :return: an empty list if ``start`` precedes the kept records; send a snapshot then.
         """
         if not self._recent or start < self._recent[0].offset:
             return []
@@ -188,14 +188,14 @@
         return list(islice(self._recent, skipped, skipped + limit))
 
     def snapshot(self) -> bytes:
-        """The folded state, coded for a peer."""
+        """Return the folded state, encoded for a peer."""
         return snapshots.encode(self.state)
 
     def restore(self, data: bytes) -> bool:
-        """Take over a snapshot; one that isn't newer than the own state changes nothing.
+        """Replace the state by a snapshot, if the snapshot is newer.
 
-        :return: whether it was taken over.
-        :raises RecordRejected: MG3004 or MG3012, it can't be read.
+        :return: whether the state was replaced.
+        :raises RecordRejected: MG3004 or MG3012, the snapshot can't be read.
         """
         state = snapshots.decode(data)
         if state.offset <= self.offset:
@@ -210,7 +210,7 @@
 
     async def _read_and_fold(self) -> None:
         if self.offset == 0:
-            # The newest checkpoint spares most of the reading; without one the log has it all.
+            # The newest checkpoint saves reading most records; without one the log has them all.
             await self._restore_checkpoint()
         while True:
             started, start = self.clock.monotonic(), self.offset
@@ -234,7 +234,7 @@
             await self._fold_page(page, started)
 
     async def _read_page(self) -> Page:
-        # Half of the bound: an answer without a record is what shows that nothing is missed.
+        # An empty answer confirms the state, so it must arrive well before the state goes stale.
         wait_s = min(self.settings.long_poll_s, self.settings.stale_after_s / 3)
         return await self.platform.read(
             self.settings.stream, self.offset, limit=PAGE_RECORDS, wait_s=wait_s
@@ -248,7 +248,7 @@
                 await self._back_off()
                 return
             if self.clock.monotonic() > slice_end:
-                # Thousands of records at start-up mustn't hold up requests and heartbeats.
+                # Thousands of records at start-up mustn't delay requests and heartbeats.
                 await asyncio.sleep(0)
                 slice_end = self.clock.monotonic() + FOLD_SLICE_S
         if self.offset >= page.end:
@@ -256,12 +256,12 @@
         self.checkpoints.oldest = page.oldest
 
     async def _handle_lost_records(self) -> None:
-        """Refuse a log that has lost records: its new ones would be decided on other grounds."""
+        """Refuse a log that lost records, because its new ones don't build on this state."""
         self._set_not_current(status_codes.LOG_WENT_BACK)
         await self._back_off()
 
     async def _restore_checkpoint(self) -> bool:
-        """Go on from the newest checkpoint on the log, if it is newer than the own state."""
+        """Restore the newest checkpoint on the log, if it is newer than the state."""
         try:
             loaded = await self.checkpoints.load()
             return loaded is not None and self.restore(loaded.data)
@@ -274,7 +274,7 @@
     def _fold(self, record: LogRecord) -> bool:
         """Fold the next record.
 
-        :return: False when it needs newer rules and nothing after it can be folded either.
+        :return: False if it needs newer rules, so that no later record can be folded either.
         """
         if record.offset < self.offset:
             return True
@@ -286,21 +286,21 @@
         code = status_codes.OK if isinstance(verdict, Accepted) else verdict.code
         value = record.value if isinstance(record.value, dict) else {}
         if isinstance(value.get("time"), float):
-            # By the clocks alone an effect could seem to come before the record that caused it.
+            # Otherwise, clock skew could order an effect before the record that caused it.
             self.timeline.witness_time(value["time"])
         kind = value.get("kind")
         kind = kind if kind in folds.RULES_BY_KIND else "other"
         metrics.fold_verdicts.add(1, {"kind": kind, "mustardgap.code": code.number})
         record_id = str(value.get("id", ""))
         is_copy = code is status_codes.DUPLICATE_RECORD
-        # The writer of a second copy hears of the first; nobody else may act on it twice.
+        # The writer of a second copy gets the first verdict; nothing else may act on it twice.
         first_verdict = folds.earlier_verdict(self.state, record_id) if is_copy else None
         self.appender.resolve(record_id, first_verdict or verdict)
         for callback in self._callbacks:
             try:
                 callback(record, verdict)
             except Exception:
-                # The record is folded all the same, and the other parts must hear of it.
+                # The record is folded nevertheless, and the other callbacks must run.
                 logging.exception("a callback failed at offset %d", record.offset)
         return True
 
@@ -317,7 +317,7 @@
             logging.warning("not current at offset %d: %s %s", self.offset, code, code.title)
 
     async def _back_off(self) -> None:
-        # Full jitter: after an outage the daemons don't all come back in the same instant.
+        # Full jitter spreads the daemons' retries after an outage.
         limit = min(MAX_BACKOFF_S, BACKOFF_S * 2.0 ** min(self._failures, 10))
         self._failures += 1
         await self.clock.sleep(random.uniform(0, limit))
