--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -31,7 +31,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that is moved by hand."""
+    """A clock that only the test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -41,7 +41,7 @@
 
 
 def make_logger(clock=None):
-    """A logger of our own with the daemon's handler parts, and where it writes."""
+    """Return a logger with the daemon's formatter and filter, and the stream that it writes to."""
     stream = io.StringIO()
     handler = python_logging.StreamHandler(stream)
     handler.setFormatter(logs.LineFormatter(host="entry-1"))
@@ -65,7 +65,7 @@
     return next((float(x.removeprefix(name)) for x in lines if x.startswith(name)), 0.0)
 
 
-@given("logs on a clock that stands still")
+@given("logs on a manual clock")
 def start_stopped_clock(context):
     context.clock = ManualClock()
     context.logger, context.stream = make_logger(context.clock)
@@ -80,7 +80,7 @@
     log_fault(context.logger)
 
 
-@then("logs hold 201 lines, of which the last tells how many were left out")
+@then("logs have 201 lines, of which the last has the number of suppressed lines")
 def check_limit(context):
     lines = context.stream.getvalue().splitlines()
     assert len(lines) == 201, len(lines)
@@ -96,7 +96,7 @@
     )
 
 
-@then("logs hold one line of pairs for any message, with or without a fault")
+@then("logs have one line of pairs for any message, with or without a fault")
 def check_any(context):
     @BOUNDED
     @given_any(st.text(), st.text(), st.booleans())
@@ -112,7 +112,7 @@
     check()
 
 
-@given("logs of a daemon that serves a request and takes a job while the platform breaks")
+@given("logs of a daemon that serves a request and accepts a job while the platform fails")
 def daemon(context):
     cluster = Cluster(processes=context.processes, daemons=1)
     cluster.start()
@@ -145,13 +145,13 @@
     return status
 
 
-@then("logs tell of the platform, but not of the body, the key or the payload")
+@then("logs mention the platform, but not the body, the key or the payload")
 def check_private(context):
     assert context.statuses == [0, 200], context.statuses
     assert not [secret for secret in SECRETS if secret in context.output], context.output
 
 
-@then("logs are pairs on every line")
+@then("logs have pairs on every line")
 def check_pairs(context):
     lines = context.output.splitlines()
     assert lines and all(PAIRS.match(line) for line in lines), context.output
--- a/features/steps/streams_steps.py
+++ b/features/steps/streams_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the log: outages, lost answers, peers, start-up and retention."""
+"""Steps for the record log: outages, lost answers, peers, start-up and retention."""
 
 import asyncio
 import threading
@@ -23,12 +23,12 @@
 
 
 def has_code(log, code):
-    """Whether a log gives this code as the reason why it isn't current."""
+    """Return whether a log has this code as the reason for not being current."""
     return log.why_not_current is not None and log.why_not_current.number == code
 
 
 def disable_safeguard(context, name):
-    """Take one safeguard off for the rest of the scenario."""
+    """Disable one safeguard for the rest of the scenario."""
     patches = {
         "none": [],
         "appending again": [mock.patch.object(appends.Appender, "_requeue")],
@@ -62,7 +62,7 @@
 
 
 def write(context, name, key, jobs=1, base=-1, timeout_s=20.0, **more):
-    """One daemon's write of one change."""
+    """Return the coroutine of one daemon's write of one change."""
     log = context.world.logs_by_name[name]
     return log.write(
         "config", change(key, jobs, base), timeout_s=timeout_s, purpose="operators", **more
@@ -70,7 +70,7 @@
 
 
 def inject_fault(context, fault, **fields):
-    """Switch faults on, such as ``lost POST + down GET``."""
+    """Inject faults, such as ``lost POST + down GET``."""
     for part in fault.split(" + "):
         name, _, method = part.partition(" ")
         on = f"/log/{STREAM}*"
@@ -99,7 +99,7 @@
     context.verdicts = world.run(all_writes())
 
 
-@then("the log's writers hear that {result}")
+@then("the log's writers are told that {result}")
 def check_writes(context, result):
     accepted = [v for v in context.verdicts if isinstance(v, Accepted)]
     assert (len(accepted) == len(context.verdicts)) == (result == "all are accepted"), accepted
@@ -109,12 +109,12 @@
     assert len({verdict.offset for verdict in accepted}) == len(accepted)
     log = next(iter(context.world.logs_by_name.values()))
     versions = [log.state.declarations_by_key[f"team/w{n}"].version for n in range(len(accepted))]
-    # Each is in force in the version that its writer was told, copies or not.
+    # Each is in force in the version that its writer was told, despite copies.
     assert versions == [verdict.offset for verdict in context.verdicts]
     print(f"{len(accepted)} accepted, {context.world.end() - len(accepted)} further records")
 
 
-@when("the log is {fault} and an operator gives a write to {name} {timeout_s:g} seconds")
+@when("the log is {fault} and an operator's write to {name} times out after {timeout_s:g} seconds")
 def write_until_timeout(context, fault, name, timeout_s):
     inject_fault(context, fault)
     (context.failure,) = context.world.run(
@@ -122,7 +122,7 @@
     )
 
 
-@then("the log tells the operator {code:d}, and {effect} after the outage")
+@then("the log returns {code:d} to the operator, and {effect} after the outage")
 def check_reply(context, code, effect):
     failure, world = context.failure, context.world
     assert isinstance(failure, MustardgapError) and failure.code.number == code, failure
@@ -130,7 +130,7 @@
     world.control.clear()
     world.agree()
     log = world.logs_by_name["A"]
-    # A write that was given up mustn't be appended later either.
+    # A write that timed out mustn't be appended later either.
     world.run(asyncio.sleep(1.0))
     assert ("team/w0" in log.state.declarations_by_key) == (effect == "it is in force"), log.offset
     assert world.end() == end
@@ -149,7 +149,7 @@
         world.agree(first, second)
 
 
-@then("the log's race has one winner each time and the other is told what changed")
+@then("the log accepts one write of each race and the other is told what changed")
 def check_race(context):
     for verdicts in context.results:
         (rejected,) = [verdict for verdict in verdicts if isinstance(verdict, Rejected)]
@@ -157,7 +157,7 @@
         assert sum(isinstance(verdict, Accepted) for verdict in verdicts) == 1
 
 
-@when("the daemon {name} is cut off from the log by {fault}, and {peer} passes on {what}")
+@when("the daemon {name} is isolated from the log by {fault}, and {peer} relays {what}")
 def isolate(context, name, fault, peer, what):
     world = context.world
     isolated, source = world.logs_by_name[name], world.logs_by_name[peer]
@@ -176,7 +176,7 @@
     context.isolated_since = time.monotonic()
 
 
-@then("the cut off daemon {name} has folded what {peer} has and knows that it is {freshness}")
+@then("the isolated daemon {name} has folded what {peer} has and reports that it is {freshness}")
 def check_isolated(context, name, peer, freshness):
     world = context.world
     isolated, source = world.logs_by_name[name], world.logs_by_name[peer]
@@ -192,16 +192,16 @@
         ), isolated.seconds_since_confirmed()
 
 
-@when("the log has a whole checkpoint and {what}")
+@when("the log has a complete checkpoint and {what}")
 def write_checkpoint(context, what):
     world = context.world
     world.run(world.logs_by_name["A"].checkpoints.write())
     write_more(context, 5, "later")
     if what == "its older records expire":
         world.control.fault("expired", on=STREAM, count=0)
-        # The stand-in expires all streams alike, so the checkpoint is written once more.
+        # The stand-in expires all streams alike, so the checkpoint is written again.
         world.run(world.logs_by_name["A"].checkpoints.write())
-    if what == "another daemon's is half written":
+    if what == "another daemon's is partly written":
         log = world.logs_by_name["A"]
         with mock.patch.object(checkpoints, "CHUNK_BYTES", 64):
             half = checkpoints.chunk_records(log.snapshot(), offset=log.offset, writer="B")
@@ -209,7 +209,7 @@
 
 
 def write_more(context, count, prefix):
-    """Write some more changes."""
+    """Write further changes."""
     world = context.world
     verdicts = world.run(gather([write(context, "A", f"{prefix}{n}") for n in range(count)]))
     assert all(isinstance(verdict, Accepted) for verdict in verdicts), verdicts
@@ -262,7 +262,7 @@
     context.world.agree()
 
 
-@when("a record that needs newer rules comes onto the log")
+@when("a record that needs newer rules is appended to the log")
 def write_newer(context):
     record = {**records.make("config", change("newer"), writer="new"), "rules": 99}
     log = context.world.logs_by_name["A"]
@@ -271,7 +271,7 @@
     context.world.run(log.platform.append(STREAM, [record, older]))
 
 
-@then("the log's readers {names} stop before it and say {code:d}")
+@then("the log's readers {names} stop before it and report {code:d}")
 def check_stopped(context, names, code):
     for name in names.split(" and "):
         log = context.world.logs_by_name[name]
@@ -280,7 +280,7 @@
         assert log.offset == context.before and not log.current
 
 
-@then("the log of {name} turns down a snapshot that was folded with newer rules")
+@then("the log of {name} rejects a snapshot that was folded with newer rules")
 def check_snapshot(context, name):
     log = context.world.logs_by_name[name]
     newer = snapshots.decode(log.snapshot())
@@ -290,7 +290,7 @@
     except RecordRejected as exc:
         assert exc.code.number == 3004
     else:
-        raise AssertionError("it was taken over")
+        raise AssertionError("the snapshot was restored")
     assert log.offset == context.before
 
 
@@ -330,7 +330,7 @@
     context.allowed = per_s * (1 + time.monotonic() - started)
 
 
-@then("the budget of appends holds and the operator's goes ahead")
+@then("the budget of appends holds and the operator's write is prioritized")
 def check_budget(context):
     assert context.spent <= context.allowed, (context.spent, context.allowed)
     position = context.order.index("operator")
@@ -338,19 +338,19 @@
 
 
 def make_already_appended(**fields):
-    """A record that counts as appended before."""
+    """Return a pending record that counts as appended before."""
     pending = PENDING_RECORD(**fields)
     pending.may_be_appended = True
     return pending
 
 
-@when("on the log {count:d} changes are made at one moment with seen taken {moment}")
+@when("on the log {count:d} changes are created at once with seen set {moment}")
 def write_burst(context, count, moment):
     patch = mock.patch.object(states, "REMEMBERED_IDS", 300)
     patch.start()
     context.add_cleanup(patch.stop)
-    if moment == "when they are made":
-        # A record that may be appended already keeps the number it was made with.
+    if moment == "on creation":
+        # A record that may be appended already keeps the ``seen`` of its creation.
         patch = mock.patch.object(appends, "PendingRecord", make_already_appended)
         patch.start()
         context.add_cleanup(patch.stop)
@@ -382,7 +382,7 @@
 CALL_S = 1.0
 
 
-@when("{what} calls the platform while the process's threads are taken")
+@when("{what} calls the platform while the process's threads are busy")
 def call_without_threads(context, what):
     world = context.world
     address = world.control.address
--- a/features/streams.feature
+++ b/features/streams.feature
@@ -1,13 +1,13 @@
-Feature: The log through outages, lost answers and retention
+Feature: The log during outages, lost answers and retention
 
   Scenario Outline: writing while the log is <fault>
     Operators write through two daemons while the platform's log fails for a second and a half:
     calls are refused, hang, are slower than their time-out, or take effect while the answer is
-    lost, so that records are appended again under the same id. Each operator must hear of
-    exactly one accepted version, the one that is in force.
+    lost, so that records are appended again with the same id. Each operator must be told exactly
+    one accepted version, the one that is in force.
     Given a log with the daemons A, B
     When the log is <fault> while 30 operators write to A and B without <safeguard>
-    Then the log's writers hear that <result>
+    Then the log's writers are told that <result>
 
     Examples:
       | fault                | safeguard       | result               |
@@ -22,12 +22,12 @@
       | silent               | appending again | not all are accepted |
 
   Scenario Outline: an outage longer than the operator waits, log <fault>
-    The operator's time runs out while the log fails. What is told must be true: "nothing was
-    written" only if it can never take effect, else that it may have. Nothing that was given up
-    may be appended after the outage.
+    The operator's write times out while the log fails. The error must be true: "nothing was
+    written" only if the write can never take effect, else that it may have. A write that timed
+    out must not be appended after the outage.
     Given a log with the daemons A, B
-    When the log is <fault> and an operator gives a write to A 1.2 seconds
-    Then the log tells the operator <code>, and <effect> after the outage
+    When the log is <fault> and an operator's write to A times out after 1.2 seconds
+    Then the log returns <code> to the operator, and <effect> after the outage
 
     Examples:
       | fault                | code | effect             |
@@ -35,11 +35,11 @@
       | silent POST          | 5001 | it is not in force |
       | lost POST + down GET | 5001 | it is in force     |
 
-  Scenario Outline: a call of <what> goes out while no thread of the process is free
-    Guards against calls to IP numbers that wait for a thread to look the number up.
+  Scenario Outline: a call of <what> is sent while no thread of the process is free
+    Guards against calls to IP addresses that wait for a thread to resolve the address.
 
     Given a log with the daemons A, B
-    When <what> calls the platform while the process's threads are taken
+    When <what> calls the platform while the process's threads are busy
     Then that call was answered
 
     Examples:
@@ -48,19 +48,19 @@
       | a command  |
 
   Scenario: two operators race
-    Two operators change the same key on the same version through two daemons at the same moment.
-    The log puts one first; the other must be told which key has changed, on both daemons alike.
+    Two operators change the same version of a key through two daemons at the same moment. The log
+    orders one first; the other must be told which key has changed, on both daemons alike.
     Given a log with the daemons A, B
     When on the log A and B race for one key 20 times
-    Then the log's race has one winner each time and the other is told what changed
+    Then the log accepts one write of each race and the other is told what changed
 
-  Scenario Outline: a daemon cut off from the log by <fault>, with <what> from a peer
-    One daemon's calls to the log fail or hang while another's work. Records that the peer passes
-    on keep it current, gaps are filled from what the peer keeps; with nothing passed on it must
-    not claim to be fresh.
+  Scenario Outline: a daemon isolated from the log by <fault>, with <what> from a peer
+    One daemon's calls to the log fail or hang while another's work. Records that the peer relays
+    keep it current, and gaps are filled from the records that the peer keeps; if nothing is
+    relayed, it must not claim to be fresh.
     Given a log with the daemons A, B
-    When the daemon B is cut off from the log by <fault>, and A passes on <what>
-    Then the cut off daemon B has folded what A has and knows that it is <freshness>
+    When the daemon B is isolated from the log by <fault>, and A relays <what>
+    Then the isolated daemon B has folded what A has and reports that it is <freshness>
 
     Examples:
       | fault  | what               | freshness |
@@ -70,38 +70,38 @@
       | silent | nothing            | not fresh |
 
   Scenario Outline: starting after a checkpoint when <what>
-    A new daemon finds the newest whole checkpoint and folds the log's tail on it. One that its
-    writer left half written is passed over.
+    A new daemon finds the newest complete checkpoint and folds the log's tail onto it. A partly
+    written checkpoint is skipped.
     Given a log with the daemons A
     And on the log 300 changes
-    When the log has a whole checkpoint and <what>
+    When the log has a complete checkpoint and <what>
     And the daemon B starts from the log
     Then the started daemon B agrees with A
 
     Examples:
-      | what                             |
-      | all records are kept             |
-      | its older records expire         |
-      | another daemon's is half written |
+      | what                               |
+      | all records are kept               |
+      | its older records expire           |
+      | another daemon's is partly written |
 
   Scenario Outline: starting from <source>
-    A daemon starts while the log can't be reached. From a peer's snapshot it is current; without
-    a peer it can't know what is in force and must say so.
+    A daemon starts while the log is unreachable. A peer's snapshot makes it current; without a
+    peer it can't know what is in force and must report that.
     Given a log with the daemons A
     And on the log 20 changes
     When the daemon B starts from <source>
     Then the started daemon B <result>
 
     Examples:
-      | source                       | result                     |
-      | the log                      | agrees with A              |
-      | a peer while the log is down | agrees with A              |
-      | neither                      | is not current, which 5000 |
+      | source                       | result                         |
+      | the log                      | agrees with A                  |
+      | a peer while the log is down | agrees with A                  |
+      | neither                      | is not current, with code 5000 |
 
   Scenario Outline: an outage longer than retention, without <safeguard>
-    The log is down until all it kept has expired. Daemons still hold what is in force; unless one
-    of them publishes it again, a daemon that starts afterwards finds nothing, and when the last
-    of the old ones is replaced the configuration is gone.
+    The log is down until all its records have expired. Daemons still hold what is in force; unless
+    one of them publishes it again, a daemon that starts later finds nothing, and the configuration
+    is lost once the last of the old daemons is replaced.
     Given a log with the daemons A, B
     And on the log 20 changes
     When an outage outlasts the log's retention without <safeguard>
@@ -109,13 +109,13 @@
     Then the started daemon C <result>
 
     Examples:
-      | safeguard   | result                     |
-      | none        | agrees with A              |
-      | checkpoints | is not current, which 5002 |
+      | safeguard   | result                         |
+      | none        | agrees with A                  |
+      | checkpoints | is not current, with code 5002 |
 
   Scenario: two daemons write checkpoints at once
-    After an outage two daemons may both publish what is in force. Their chunks mix on the stream;
-    a new daemon must start from one of them and nothing may change.
+    After an outage two daemons may both publish what is in force. Their chunks interleave on the
+    stream; a new daemon must start from one checkpoint and nothing may change.
     Given a log with the daemons A, B
     And on the log 20 changes
     When the daemons A and B write checkpoints at once
@@ -123,46 +123,46 @@
     Then the started daemon C agrees with A
 
   Scenario: a record of a newer daemon
-    During a rolling replacement a newer daemon writes a record whose rules this one doesn't know.
-    Were it skipped or guessed at, old and new daemons would differ for good. So it stops there,
-    says that it isn't current, and waits to be replaced.
+    During a rolling replacement a newer daemon writes a record whose rules an older one doesn't
+    know. If the record were skipped or folded by old rules, their states would differ permanently.
+    So the older one stops there, reports that it isn't current, and waits to be replaced.
     Given a log with the daemons A, B
     And on the log 5 changes
-    When a record that needs newer rules comes onto the log
-    Then the log's readers A and B stop before it and say 3004
-    And the log of A turns down a snapshot that was folded with newer rules
+    When a record that needs newer rules is appended to the log
+    Then the log's readers A and B stop before it and report 3004
+    And the log of A rejects a snapshot that was folded with newer rules
 
   Scenario: a log that lost records
-    The platform comes back with an empty log. New records would be decided on other grounds than
-    the ones folded; the daemon must refuse to go on.
+    The platform restarts with an empty log. New records don't build on the daemon's folded state,
+    so the daemon must stop.
     Given a log with the daemons A
     And on the log 5 changes
     When the platform loses its log
-    Then the started daemon A has stopped, which 5007
+    Then the started daemon A has stopped, with code 5007
 
   Scenario: the budget of appends
-    Background work queues hundreds of records. The budget of appends must hold, and an operator's
-    change must not wait behind them.
+    Background work queues many records. The budget of appends must hold, and an operator's change
+    must not wait behind them.
     Given a log with the daemons A
     When 60 background writes and then an operator's use a budget of 20 appends
-    Then the budget of appends holds and the operator's goes ahead
+    Then the budget of appends holds and the operator's write is prioritized
 
-  Scenario Outline: thousands of records made at one moment, with seen taken <when>
-    A wave of cancellations queues more records than the fold remembers ids. Each record tells how
-    many its writer had folded; told when it is made, the last of them would be turned down as too
-    old although nobody ever appended them before.
+  Scenario Outline: thousands of records created at once, with seen set <when>
+    A burst of cancellations queues more records than the fold remembers ids. In ``seen`` each
+    record has the number of records that its writer had folded; if that were set on creation, the
+    last records would be rejected as too old although they had never been appended before.
     Given a log with the daemons A, B
-    When on the log 1500 changes are made at one moment with seen taken <when>
-    Then the log's writers hear that <result>
+    When on the log 1500 changes are created at once with seen set <when>
+    Then the log's writers are told that <result>
 
     Examples:
-      | when                  | result               |
-      | at the first append   | all are accepted     |
-      | when they are made    | not all are accepted |
+      | when                | result               |
+      | at the first append | all are accepted     |
+      | on creation         | not all are accepted |
 
   Scenario: one record of a batch that the log refuses
-    The log refuses a whole append for one record that it won't take. Its writer must be told, and
-    the others, who only shared the batch, must not wait or fail with it.
+    The log refuses a whole append because of one record. Its writer must be told, and the writers
+    of other records in the batch must not wait or fail with it.
     Given a log with the daemons A
     When the log refuses 1 of 20 changes written at once
     Then the log's writers of the other 19 are told accepted and one MG5003
--- a/features/support/log_worlds.py
+++ b/features/support/log_worlds.py
@@ -1,4 +1,4 @@
-"""Logs of several daemons over the platform's stand-in, each on a port of its own."""
+"""Record logs of several daemons on the platform's stand-in, each with its own port."""
 
 import asyncio
 import json
@@ -23,10 +23,10 @@
 
 
 class LogWorld:
-    """The platform's process, and daemons' logs that run in this one.
+    """Runs the platform in a process, and the logs of daemons in this one.
 
     :param processes: starts the platform.
-    :param folder: where its settings are written.
+    :param folder: the folder for its settings.
     """
 
     def __init__(self, *, processes, folder):
@@ -43,17 +43,17 @@
         self.start_platform()
 
     def start_platform(self):
-        """Start the platform, with nothing on its log."""
+        """Start the platform with an empty log."""
         ports = [f"--port={port}" for port in self.ports_by_name.values()]
         self.processes.start("platform", "standins.platforms", *ports, f"--settings={self.file}")
         wait_http(f"http://{self.control.address}/control/truth")
 
     def run(self, coroutine):
-        """Run something while all logs run."""
+        """Run a coroutine while all logs run."""
         return self.loop.run_until_complete(coroutine)
 
     def start(self, name, **settings):
-        """Start a daemon's log, with an empty state."""
+        """Start a daemon's log with an empty state."""
         values = {"timeout_s": 0.4, "stale_after_s": 3.0, **settings}
         address = f"127.0.0.1:{self.ports_by_name[name[0]]}"
         log = self.logs_by_name[name] = Log(
@@ -68,7 +68,7 @@
         return log
 
     def relay(self, name, stale_after_s=0.0):
-        """Let a daemon ask its peers, and answer them."""
+        """Let a daemon query its peers, and answer them."""
         log = self.logs_by_name[name]
         relays = Relays(
             log=log,
@@ -80,14 +80,14 @@
         self.relays.append(self.loop.create_task(relays.run()))
 
     def stop(self, name):
-        """End a daemon's log."""
+        """Stop a daemon's log."""
         task = self.tasks_by_name.pop(name)
         task.cancel()
         self.run(wait_ended([task]))
         self.logs_by_name.pop(name).platform.close()
 
     def close(self):
-        """End all logs and the loop."""
+        """Stop all logs and close the loop."""
         for task in self.relays:
             task.cancel()
         self.run(wait_ended(self.relays))
@@ -106,17 +106,19 @@
         """Wait until daemons are current and have equal states."""
         logs = [self.logs_by_name[name] for name in names or self.logs_by_name]
         self.until(lambda: all(log.current for log in logs), "all are current")
-        self.until(lambda: {log.offset for log in logs} == {self.end()}, "all have folded all")
+        self.until(
+            lambda: {log.offset for log in logs} == {self.end()}, "all have folded all records"
+        )
         assert len({log.state.digest() for log in logs}) == 1, "the states differ"
 
     def end(self, stream="mustardgap"):
-        """The end of a stream, as the platform knows it."""
+        """Return the end of a stream on the platform."""
         streams = self.control.truth()["log"]["streams"]
         return streams.get(stream, {"end": 0})["end"]
 
 
 class FakePeers:
-    """Calls between the relays of one world, by way of the messages' codec."""
+    """Calls between the relays of one world, with messages encoded and decoded."""
 
     def __init__(self, *, world, name):
         self.world = world
@@ -143,7 +145,7 @@
 
 
 class FakeMembers:
-    """All daemons of a world as live members that tell their offsets."""
+    """All daemons of a world as live members with their offsets."""
 
     def __init__(self, *, world, name):
         self.world = world
@@ -163,10 +165,10 @@
 
 
 def team(jobs=1):
-    """A team's value."""
+    """Return a team's value."""
     return {"max_cores": 1.0, "max_memory_gb": 1.0, "max_jobs": jobs}
 
 
 def change(key, jobs=1, base=-1):
-    """The body of a change of one team."""
+    """Return the body of a change of one team."""
     return {"changes": [{"key": f"team/{key}", "base": base, "value": team(jobs)}]}
