--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -30,8 +30,8 @@
 SECRETS = ("body-of-a-seeker", "key-of-a-refund", "payload-of-a-job")
 
 
-class StillClock(Clock):
-    """A clock that is moved by hand."""
+class ManualClock(Clock):
+    """A clock that only the test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -41,7 +41,7 @@
 
 
 def make_logger(clock=None):
-    """A logger of our own with the daemon's handler parts, and where it writes."""
+    """Return a logger with the daemon's formatter and filter, and the stream that it writes to."""
     stream = io.StringIO()
     handler = python_logging.StreamHandler(stream)
     handler.setFormatter(logs.LineFormatter(host="entry-1"))
@@ -52,36 +52,36 @@
     return logger, stream
 
 
-def fail(logger, message="a request failed", cause="it broke"):
+def log_fault(logger, message="a request failed", cause="it broke"):
     try:
         raise ValueError(cause)
     except ValueError:
         logger.exception(message)
 
 
-def counted(result):
+def count_lines(result):
     name = f'mustardgap_log_lines_total{{result="{result}"}} '
     lines = metrics.render().decode().splitlines()
     return next((float(x.removeprefix(name)) for x in lines if x.startswith(name)), 0.0)
 
 
-@given("logs on a clock that stands still")
-def still(context):
-    context.clock = StillClock()
+@given("logs on a manual clock")
+def start_stopped_clock(context):
+    context.clock = ManualClock()
     context.logger, context.stream = make_logger(context.clock)
-    context.before = counted("written"), counted("suppressed")
+    context.before = count_lines("written"), count_lines("suppressed")
 
 
 @when("logs get 10000 faults at once, and one more 10 seconds later")
-def flood(context):
+def log_faults(context):
     for _ in range(10_000):
-        fail(context.logger)
+        log_fault(context.logger)
     context.clock.now += 10
-    fail(context.logger)
+    log_fault(context.logger)
 
 
-@then("logs hold 201 lines, of which the last tells how many were left out")
-def check_flood(context):
+@then("logs have 201 lines, of which the last has the number of suppressed lines")
+def check_limit(context):
     lines = context.stream.getvalue().splitlines()
     assert len(lines) == 201, len(lines)
     assert lines[-1].endswith("suppressed=9800"), lines[-1]
@@ -91,17 +91,19 @@
 @then("logs count each line as written or suppressed")
 def check_counts(context):
     written, suppressed = context.before
-    assert counted("written") - written == 201 and counted("suppressed") - suppressed == 9800
+    assert (
+        count_lines("written") - written == 201 and count_lines("suppressed") - suppressed == 9800
+    )
 
 
-@then("logs hold one line of pairs for any message, with or without a fault")
+@then("logs have one line of pairs for any message, with or without a fault")
 def check_any(context):
     @BOUNDED
     @given_any(st.text(), st.text(), st.booleans())
     def check(message, cause, with_fault):
         logger, stream = make_logger()
         if with_fault:
-            fail(logger, message.replace("%", ""), cause)
+            log_fault(logger, message.replace("%", ""), cause)
         else:
             logger.info("%s", message)
         (line,) = stream.getvalue().split("\n")[:-1]
@@ -110,7 +112,7 @@
     check()
 
 
-@given("logs of a daemon that serves a request and takes a job while the platform breaks")
+@given("logs of a daemon that serves a request and accepts a job while the platform fails")
 def daemon(context):
     cluster = Cluster(processes=context.processes, daemons=1)
     cluster.start()
@@ -143,13 +145,13 @@
     return status
 
 
-@then("logs tell of the platform, but not of the body, the key or the payload")
+@then("logs mention the platform, but not the body, the key or the payload")
 def check_private(context):
     assert context.statuses == [0, 200], context.statuses
     assert not [secret for secret in SECRETS if secret in context.output], context.output
 
 
-@then("logs are pairs on every line")
+@then("logs have pairs on every line")
 def check_pairs(context):
     lines = context.output.splitlines()
     assert lines and all(PAIRS.match(line) for line in lines), context.output
--- a/mustardgap/exchanges.py
+++ b/mustardgap/exchanges.py
@@ -247,7 +247,7 @@
 
     def _on_caller_gone(self) -> None:
         if self._session is not None:
-            self._session.hang_up()
+            self._session.handle_disconnect()
 
     def _builtin_answer(self) -> Answer:
         headers = [("Content-Type", "text/plain")]
--- a/mustardgap/relays.py
+++ b/mustardgap/relays.py
@@ -92,13 +92,13 @@
             # The peer no longer has the next record, only the state.
             await self._ask_snapshot(peer)
         age_s = reply.age_s + self.clock.monotonic() - started
-        self.log.witness(reply.end, age_s)
+        self.log.confirm_current(reply.end, age_s)
         return self.log.offset > offset_before
 
     def _may_lack_records(self) -> bool:
         if self.log.why_not_current is status_codes.RULES_TOO_NEW:
             return False
-        if not self.log.current or self.log.fresh_s() > self.stale_after_s / 2:
+        if not self.log.current or self.log.seconds_since_confirmed() > self.stale_after_s / 2:
             return True
         is_behind = any(m.offset > self.log.offset for m in self.members.live())
         # Only if it is still behind at the next check, so that the log has had time to answer.
@@ -147,7 +147,7 @@
             first=message.first,
             records=records,
             end=self.log.offset,
-            age_s=self.log.fresh_s(),
+            age_s=self.log.seconds_since_confirmed(),
         )
 
     async def _answer_snapshot(self, member: Member, message: SnapshotAsk) -> Snapshot:
