--- a/features/steps/requests_endings_steps.py
+++ b/features/steps/requests_endings_steps.py
@@ -18,7 +18,7 @@
 from mustardgap.exceptions import ChildFailed
 from mustardgap.timers import Clock
 
-ENDINGS = {
+FAILURES = {
     "fails": ValueError("a fault of ours"),
     "fails by a timeout": TimeoutError("a timeout that nobody expected"),
     "is cancelled": asyncio.CancelledError(),
@@ -30,30 +30,30 @@
     return {o.attributes["how"]: o.value for o in metrics.unanswered_requests.read(None)}
 
 
-def _end_handling(entry, ends, state):
+def _make_handling_fail(entry, ends, state):
     """Have the handling of the requests that are in a state end."""
 
-    def end(*args, **kwargs):
-        raise ENDINGS[ends]
+    def fail(*args, **kwargs):
+        raise FAILURES[ends]
 
-    async def end_later(*args, **kwargs):
-        end()
+    async def fail_async(*args, **kwargs):
+        fail()
 
     if state == "is looked at":
-        entry.callers.refusal = end
+        entry.callers.refusal = fail
     elif state == "waits for a slot":
-        entry.slots.acquire = end_later
+        entry.slots.acquire = fail_async
     elif state == "claims its key":
-        entry.keys.claim = end_later
+        entry.keys.claim = fail_async
     else:
-        entry.executors.report = end
+        entry.executors.report = fail
 
 
 @when("requests of kind {kind} have their handling end as it {ends} while the request {state}")
-def end_handling(context, kind, ends, state):
+def send_and_fail_handling(context, kind, ends, state):
     async def main():
         async with Rig() as r:
-            _end_handling(r.entry, ends, state)
+            _make_handling_fail(r.entry, ends, state)
             await _ask_and_check(context, r, kind)
 
     asyncio.run(main())
@@ -88,10 +88,10 @@
 
 
 @when("requests' handling {ends} after a part of a large answer")
-def end_after_part(context, ends):
+def fail_after_part(context, ends):
     async def main():
         async with Rig() as r:
-            _end_handling(r.entry, ends, "has run")
+            _make_handling_fail(r.entry, ends, "has run")
             reader, writer = await asyncio.open_connection("127.0.0.1", r.entry.callers.port)
             writer.write(b"GET /quotes/large?size=3000000&chunked=1 HTTP/1.0\r\nHost: a\r\n\r\n")
             context.received, context.ended = b"", "open"
@@ -111,13 +111,13 @@
     return "closed"
 
 
-def _shorten_stop(entry, stop_s=0.4):
+def _shorten_stop_timeout(entry, stop_s=0.4):
     """Give an entry host little time to stop."""
     callers = entry.callers
     callers.settings = msgspec.structs.replace(callers.settings, stop_timeout_s=stop_s)
 
 
-def _hold(entry, state):
+def _block_requests(entry, state):
     """Have requests stay in a state, and tell when one is."""
     reached = asyncio.Event()
 
@@ -132,9 +132,9 @@
     return reached
 
 
-async def _stop_under_way(context, r, kind, state, stop):
+async def _stop_during_request(context, r, kind, state, stop):
     """Stop an entry host while a request is in a state."""
-    reached = _hold(r.entry, state)
+    reached = _block_requests(r.entry, state)
     query = "run_s=2" if state == "runs" else ""
     asking = asyncio.create_task(_ask_and_check(context, r, kind, query))
     if state == "runs":
@@ -149,11 +149,11 @@
     "requests of kind {kind} are under way while the entry host's time to stop runs out: "
     "one {state}"
 )
-def stop_in_vain(context, kind, state):
+def stop_until_timeout(context, kind, state):
     async def main():
         async with Rig() as r:
-            _shorten_stop(r.entry)
-            await _stop_under_way(context, r, kind, state, r.entry.callers.drain)
+            _shorten_stop_timeout(r.entry)
+            await _stop_during_request(context, r, kind, state, r.entry.callers.drain)
 
     asyncio.run(main())
 
@@ -169,7 +169,7 @@
                 daemon.may_fail.set()
                 await asyncio.wait([running], timeout=10)
 
-            await _stop_under_way(context, r, kind, state, fail)
+            await _stop_during_request(context, r, kind, state, fail)
             assert isinstance(running.exception(), ChildFailed), running
 
     asyncio.run(main())
@@ -214,28 +214,28 @@
 
     def __init__(self, *, callers, ends_by_step):
         super().__init__(callers=callers)
-        self.taken = []
+        self.executed_steps = []
         self._ends_by_step = ends_by_step
-        self.readiness = SimpleNamespace(stop=self._end_readiness)
+        self.readiness = SimpleNamespace(stop=self._record_readiness_stop)
         self.parts.timeline = callers.timeline
         self.parts.slots = SimpleNamespace(sharing=None)
         for step in STOP_STEPS[1:]:
             part, method = step.split(".")
             if not hasattr(self.parts, part):
                 setattr(self.parts, part, SimpleNamespace())
-            setattr(getattr(self.parts, part), method, self._step(step))
+            setattr(getattr(self.parts, part), method, self._make_step(step))
 
     async def _start(self):
         self._stop.set()
 
-    def _end_readiness(self):
-        self.taken.append("readiness.stop")
+    def _record_readiness_stop(self):
+        self.executed_steps.append("readiness.stop")
         if "readiness.stop" in self._ends_by_step:
             raise ValueError("it broke")
 
-    def _step(self, name):
+    def _make_step(self, name):
         async def step(*args, **kwargs):
-            self.taken.append(name)
+            self.executed_steps.append(name)
             if name in self._ends_by_step:
                 await self._ends_by_step[name]()
 
@@ -256,19 +256,19 @@
                 ended_by = asyncio.CancelledError() if running.cancelled() else running.exception()
                 context.ended_by = ended_by
 
-            await _stop_under_way(context, r, kind, state, stop)
-            context.taken = daemon.taken
+            await _stop_during_request(context, r, kind, state, stop)
+            context.executed_steps = daemon.executed_steps
 
-    with mock.patch.object(logging, "exception") as lines:
+    with mock.patch.object(logging, "exception") as log_exception:
         asyncio.run(main())
-    context.lines = [call.args for call in lines.call_args_list]
+    context.logged_args = [call.args for call in log_exception.call_args_list]
 
 
 @then("every step of the stop was taken, and a line names {step}")
-def every_step_taken(context, step):
+def check_all_steps_executed(context, step):
     assert context.ended_by is None, repr(context.ended_by)
-    assert context.taken == STOP_STEPS, context.taken
-    assert [step in args for args in context.lines] == [True], context.lines
+    assert context.executed_steps == STOP_STEPS, context.executed_steps
+    assert [step in args for args in context.logged_args] == [True], context.logged_args
 
 
 @when(
@@ -282,28 +282,28 @@
             async def stop():
                 running = asyncio.create_task(daemon.run())
                 await until(lambda: r.entry.callers.draining)
-                context.before = list(daemon.taken)
+                context.steps_before = list(daemon.executed_steps)
                 daemon.may_fail.set()
                 await asyncio.wait([running], timeout=10)
                 assert isinstance(running.exception(), ChildFailed), running
 
-            await _stop_under_way(context, r, kind, state, stop)
-            context.taken = daemon.taken
+            await _stop_during_request(context, r, kind, state, stop)
+            context.executed_steps = daemon.executed_steps
 
     asyncio.run(main())
 
 
 @then("no step of the stop was taken after that")
-def no_more_steps(context):
-    assert context.before, "the stop had not begun"
-    assert context.taken == context.before, context.taken
+def check_no_further_steps(context):
+    assert context.steps_before, "the stop had not begun"
+    assert context.executed_steps == context.steps_before, context.executed_steps
 
 
 @when("requests' caller still sends a body while the entry host's time to stop runs out")
-def stop_within_body(context):
+def stop_during_body(context):
     async def main():
         async with Rig() as r:
-            _shorten_stop(r.entry)
+            _shorten_stop_timeout(r.entry)
             reader, writer = await asyncio.open_connection("127.0.0.1", r.entry.callers.port)
             writer.write(b"POST /quotes/slow HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc")
             await until(lambda: r.entry.callers.held_bytes)
@@ -336,7 +336,7 @@
 
 
 @when("requests' caller sends one on a {which} connection just as the entry host closes")
-def send_at_the_end(context, which):
+def send_while_closing(context, which):
     async def main():
         async with Rig() as r:
             loop = asyncio.get_running_loop()
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -15,12 +15,12 @@
 
 
 @given("requests to an entry host with two executors")
-def rig(context):
+def use_default_rig(context):
     context.rig_options = {}
 
 
 @when("requests of kind {kind} meet {fault} on {on}")
-def meet(context, kind, fault, on):
+def send_with_fault(context, kind, fault, on):
     async def main():
         async with Rig(**context.rig_options) as r:
             name, _, number = fault.partition(" ")
@@ -29,9 +29,9 @@
             elif name == "frozen":
                 r.upstreams.by_name["x1"].pause()
             elif name != "nothing":
-                fields = {"late": "seconds", "short": "at_byte"}
-                value = {fields[name]: int(number)} if name in fields else {}
-                r.fault(name, on="*" if on == "both" else on, **value)
+                argument_names = {"late": "seconds", "short": "at_byte"}
+                arguments = {argument_names[name]: int(number)} if name in argument_names else {}
+                r.fault(name, on="*" if on == "both" else on, **arguments)
             query = "size=5000"
             told = await r.ask(kind, query=query, timeout_s=1.0)
             context.told, context.runs = told, r.runs(told.path)
@@ -54,11 +54,11 @@
 
 
 @when("requests with drawn faults are held against the executors' record")
-def draw_faults(context):
+def send_with_random_faults(context):
     runner, rig = asyncio.Runner(), Rig()
     faults = ["nothing", "reset_before_reading", "reset_after_reading", "reset_after_running"]
     faults += ["refusing", "wrong_id", "doubled", "short", "late", "failing"]
-    context.seen = set()
+    context.seen_codes = set()
 
     @bounded(4000 if LONG else 150)
     @drawn(
@@ -70,16 +70,16 @@
         st.sampled_from(["x1", "*"]),
     )
     def example(fault, kind, size, chunked, at_byte, on):
-        async def one():
+        async def send_one():
             if fault != "nothing":
                 r.fault(fault, on=on, at_byte=at_byte, seconds=0.3)
             query = f"size={size}" + ("&chunked=1" if chunked else "")
             told = await r.ask(kind, query=query, timeout_s=0.2 if fault == "late" else 5.0)
             r.upstreams.faults.clear()
             told.check(r.runs(told.path), kind == "idempotent")
-            context.seen.add(told.code)
+            context.seen_codes.add(told.code)
 
-        runner.run(one())
+        runner.run(send_one())
 
     r = runner.run(rig.__aenter__())
     try:
@@ -90,8 +90,8 @@
 
 
 @then("requests were told at least {codes}")
-def check_seen(context, codes):
-    assert {int(code) for code in codes.split("/")} <= context.seen, context.seen
+def check_seen_codes(context, codes):
+    assert {int(code) for code in codes.split("/")} <= context.seen_codes, context.seen_codes
 
 
 async def until(condition):
@@ -102,7 +102,7 @@
 
 
 @when("requests' caller hangs up while its {kind} request {state}")
-def hang_up(context, kind, state):
+def disconnect(context, kind, state):
     async def main():
         async with Rig() as r:
             if state == "waits for a slot":
@@ -119,7 +119,7 @@
             assert r.upstreams.by_name["x1"].show()["running"] == (state == "runs")
             writer.close()
             await asyncio.sleep(0.3)
-            context.held = r.entry.slots.held
+            context.held_slots = r.entry.slots.held
             r.entry.slots.open.set()
             await until(lambda: not r.entry.slots.held)
             await asyncio.sleep(0.5)
@@ -131,9 +131,9 @@
 
 
 @then("requests have {count:d} run and the slot is {slot}")
-def check_hang_up(context, count, slot):
+def check_disconnect(context, count, slot):
     assert len(context.runs) == count, context.runs
-    assert context.held == (slot == "still held"), context.held
+    assert context.held_slots == (slot == "still held"), context.held_slots
 
 
 @when("requests are in flight while the entry host stops")
@@ -144,15 +144,17 @@
             kept = await asyncio.open_connection("127.0.0.1", port)
             idle = await asyncio.open_connection("127.0.0.1", port)
             assert b"200 OK" in await _get(kept, "/-/ready")
-            flying = [asyncio.create_task(r.ask(query="run_s=0.8")) for _ in range(5)]
+            in_flight = [asyncio.create_task(r.ask(query="run_s=0.8")) for _ in range(5)]
             await asyncio.sleep(0.1)
             stopping = asyncio.create_task(r.entry.callers.drain())
             await asyncio.sleep(0.05)
-            context.ready = await _get(await asyncio.open_connection("127.0.0.1", port), "/-/ready")
-            context.lingering = await _get(kept, "/quotes/kept")
+            context.ready_answer = await _get(
+                await asyncio.open_connection("127.0.0.1", port), "/-/ready"
+            )
+            context.kept_answer = await _get(kept, "/quotes/kept")
             await asyncio.sleep(0.4)
-            context.late = await _get(idle, "/quotes/late")
-            context.told = [await task for task in flying]
+            context.late_answer = await _get(idle, "/quotes/late")
+            context.told = [await task for task in in_flight]
             await stopping
             context.runs = r.runs()
 
@@ -168,29 +170,29 @@
 @then("requests in flight were answered and later ones truly refused")
 def check_stop(context):
     assert [told.code for told in context.told] == [1000] * 5
-    assert context.ready.startswith(b"HTTP/1.1 503"), context.ready
-    assert b"Connection: close" in context.lingering
-    assert b"X-Result-Code: 1000" in context.lingering, context.lingering
-    assert b"X-Result-Code: 1105" in context.late, context.late
+    assert context.ready_answer.startswith(b"HTTP/1.1 503"), context.ready_answer
+    assert b"Connection: close" in context.kept_answer
+    assert b"X-Result-Code: 1000" in context.kept_answer, context.kept_answer
+    assert b"X-Result-Code: 1105" in context.late_answer, context.late_answer
     assert not [run for run in context.runs if "late" in run.path]
 
 
 @when("requests are given {seconds:g} s by a {kind} caller while both executors refuse connections")
-def give_up(context, seconds, kind):
+def send_without_executors(context, seconds, kind):
     async def main():
         async with Rig() as r:
             for executor in r.upstreams.by_name.values():
                 executor.cut()
             started = time.monotonic()
             context.told = await r.ask(kind, timeout_s=seconds)
-            context.took_s = time.monotonic() - started
+            context.elapsed_s = time.monotonic() - started
             context.runs = r.runs()
 
     asyncio.run(main())
 
 
 @then("requests are refused long before their deadline of {seconds:g} s")
-def check_at_once(context, seconds):
+def check_refused_early(context, seconds):
     context.told.check(context.runs, False)
     assert context.told.code == 1103, context.told.code
-    assert context.took_s < seconds / 2
+    assert context.elapsed_s < seconds / 2
--- a/features/steps/requests_wire_steps.py
+++ b/features/steps/requests_wire_steps.py
@@ -11,7 +11,7 @@
 
 
 @when("requests for {size:d} bytes are cut after {cut} by an executor, {framing}")
-def cut_large(context, size, cut, framing):
+def read_truncated_answer(context, size, cut, framing):
     async def main():
         async with Rig() as r:
             if cut != "nothing":
@@ -24,7 +24,7 @@
             context.received, context.ended = b"", "open"
             before = psutil.Process().memory_info().rss
             try:
-                while not _is_whole(context.received, size, framing):
+                while not _is_complete(context.received, size, framing):
                     chunk = await asyncio.wait_for(reader.read(1 << 20), 10)
                     if not chunk:
                         context.ended = "closed"
@@ -32,14 +32,14 @@
                     context.received += chunk
             except ConnectionResetError:
                 context.ended = "reset"
-            context.grown = psutil.Process().memory_info().rss - before
+            context.memory_growth = psutil.Process().memory_info().rss - before
             writer.close()
             assert r.entry.slots.held == 0 or context.ended == "open"
 
     asyncio.run(main())
 
 
-def _is_whole(received, size, framing):
+def _is_complete(received, size, framing):
     _, found, body = received.partition(b"\r\n\r\n")
     if framing == "chunked":
         return received.endswith(b"\r\n0\r\n\r\n")
@@ -61,22 +61,22 @@
             # The default of 5 s is no time for 200 MB where the test's process is held up.
             lines = b"GET /quotes/large?size=200000000 HTTP/1.1\r\nHost: a\r\n"
             writer.write(lines + b"X-Request-Timeout: 60\r\n\r\n")
-            process, size, most = psutil.Process(), 0, 0
+            process, size, peak = psutil.Process(), 0, 0
             await reader.readuntil(b"\r\n\r\n")
             before = process.memory_info().rss
             while size < 200_000_000:
                 size += len(await reader.read(1 << 20))
                 if size < 2_000_000:
                     await asyncio.sleep(0.05)
-                most = max(most, process.memory_info().rss)
-            context.grown = most - before
+                peak = max(peak, process.memory_info().rss)
+            context.memory_growth = peak - before
             writer.close()
 
     asyncio.run(main())
 
 
 @when("requests of kind {kind} meet an executor that answers {raw}")
-def meet_raw(context, kind, raw):
+def send_to_raw_executor(context, kind, raw):
     async def answer(reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
         request_id = head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0]
@@ -109,7 +109,7 @@
 
 @then("requests took less than {size:d} MB more memory")
 def check_memory(context, size):
-    assert context.grown < size * 1_000_000, context.grown
+    assert context.memory_growth < size * 1_000_000, context.memory_growth
 
 
 @when("requests' caller stops reading a large answer")
@@ -124,7 +124,7 @@
             await asyncio.sleep(0.3)
             assert r.entry.slots.held == 1
             await asyncio.sleep(2.0)
-            context.held, context.ended = r.entry.slots.held, "open"
+            context.held_slots, context.ended = r.entry.slots.held, "open"
             try:
                 while await asyncio.wait_for(reader.read(1 << 20), 1.0):
                     pass
@@ -139,7 +139,7 @@
 
 @then("requests' slot is free when the time is over, and the connection is reset")
 def check_stop_reading(context):
-    assert context.held == 0 and context.ended == "reset", (context.held, context.ended)
+    assert context.held_slots == 0 and context.ended == "reset", (context.held_slots, context.ended)
 
 
 @when("requests' caller sends {malformed}")
@@ -168,28 +168,28 @@
 class JumpingClock(Clock):
     """A clock that jumps when its process wakes."""
 
-    lost_s = 0.0
+    jump_s = 0.0
 
     def monotonic(self):
-        return super().monotonic() + self.lost_s
+        return super().monotonic() + self.jump_s
 
 
 @when("requests are in hand while the entry host freezes as it {waits}")
-def freeze(context, waits):
+def freeze_while_sending(context, waits):
     async def main():
         clock = JumpingClock()
         async with Rig(clock=clock) as r:
-            place = r.entry.slots if waits == "waits for a slot" else r.entry.sessions.upstreams
-            name = "acquire" if waits == "waits for a slot" else "_connect"
-            through = getattr(place, name)
+            target = r.entry.slots if waits == "waits for a slot" else r.entry.sessions.upstreams
+            method_name = "acquire" if waits == "waits for a slot" else "_connect"
+            original_method = getattr(target, method_name)
 
             async def frozen(*args, **kwargs):
-                result = await through(*args, **kwargs)
-                clock.lost_s = 30.0
+                result = await original_method(*args, **kwargs)
+                clock.jump_s = 30.0
                 return result
 
-            setattr(place, name, frozen)
-            context.told, context.held = await r.ask(), r.entry.slots.held
+            setattr(target, method_name, frozen)
+            context.told, context.held_slots = await r.ask(), r.entry.slots.held
             context.runs = r.runs()
 
     asyncio.run(main())
@@ -217,7 +217,7 @@
 
 
 @when("requests' callers send ten bodies that are too large together")
-def send_large(context):
+def send_large_bodies(context):
     async def main():
         async with Rig(callers={"max_held_bytes": 200_000}) as r:
             r.entry.slots.open.clear()
@@ -231,12 +231,12 @@
 
 
 @then("requests are told only 1000 and 1113, both at least once")
-def check_large(context):
+def check_large_bodies(context):
     assert context.codes == {1000, 1113}, context.codes
 
 
 @when("requests come on ten connections where two are allowed")
-def crowd(context):
+def open_many_connections(context):
     async def main():
         async with Rig(callers={"max_connections": 2}) as r:
             port = r.entry.callers.port
@@ -256,6 +256,6 @@
 
 
 @then("requests are told 1000, 1000, 1113 and the other connections end")
-def check_crowd(context):
+def check_many_connections(context):
     codes = [head.partition(b"X-Result-Code: ")[2][:4] for head in context.heads]
     assert codes == [b"1000", b"1000", b"1113"] + [b""] * 7, codes
