--- a/features/steps/requests_endings_steps.py
+++ b/features/steps/requests_endings_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests whose handling ends early: by a fault, a cancellation or a stop."""
+"""Steps for requests whose handling ends early: by an error, a cancellation or a stop."""
 
 import asyncio
 import socket
@@ -19,19 +19,19 @@
 from mustardgap.timers import Clock
 
 FAILURES = {
-    "fails": ValueError("a fault of ours"),
-    "fails by a timeout": TimeoutError("a timeout that nobody expected"),
+    "fails": ValueError("internal error"),
+    "fails by a timeout": TimeoutError("unexpected timeout"),
     "is cancelled": asyncio.CancelledError(),
 }
 
 
 def unanswered_counts():
-    """Requests whose handling ended without an answer, by how it ended."""
+    """Count the requests whose handling ended without an answer, by how it ended."""
     return {o.attributes["how"]: o.value for o in metrics.unanswered_requests.read(None)}
 
 
 def _make_handling_fail(entry, ends, state):
-    """Have the handling of the requests that are in a state end."""
+    """Make the handling of requests in a state raise an exception."""
 
     def fail(*args, **kwargs):
         raise FAILURES[ends]
@@ -39,7 +39,7 @@
     async def fail_async(*args, **kwargs):
         fail()
 
-    if state == "is looked at":
+    if state == "is admitted":
         entry.callers.refusal = fail
     elif state == "waits for a slot":
         entry.slots.acquire = fail_async
@@ -49,7 +49,7 @@
         entry.executors.report = fail
 
 
-@when("requests of kind {kind} have their handling end as it {ends} while the request {state}")
+@when("requests of kind {kind} are sent and their handling {ends} while the request {state}")
 def send_and_fail_handling(context, kind, ends, state):
     async def main():
         async with Rig() as r:
@@ -60,12 +60,12 @@
 
 
 async def _ask_and_check(context, r, kind, query=""):
-    """Send a request, and hold its answer against what ran; nothing may be left of it."""
+    """Send a request, and check its answer against what ran; its slot must be free again."""
     before = unanswered_counts()
     headers = {"Idempotency-Key": "k"} if kind == "keyed" else {}
     context.told = await r.ask(kind, headers=headers, query=query)
     assert context.told.code, (context.told.resp.code, context.told.resp.error)
-    # What has begun goes on at the executor, and is on record when it has ended.
+    # A run that has begun continues at the executor, and is recorded when it ends.
     await until(lambda: not any(x.show()["running"] for x in r.upstreams.by_name.values()))
     context.runs = r.runs()
     context.told.check(context.runs, kind == "idempotent")
@@ -78,7 +78,7 @@
     assert r.entry.slots.held == 0
 
 
-@then("requests without an outcome are counted as {how} once, with a line that names each")
+@then("requests without an outcome are counted as {how} once, with an event for each")
 def check_counted(context, how):
     assert context.counts == {how: 1}, context.counts
     events = [event for event in context.events if event.kind == "request.unanswered"]
@@ -112,13 +112,13 @@
 
 
 def _shorten_stop_timeout(entry, stop_s=0.4):
-    """Give an entry host little time to stop."""
+    """Shorten the stop timeout of an entry host."""
     callers = entry.callers
     callers.settings = msgspec.structs.replace(callers.settings, stop_timeout_s=stop_s)
 
 
 def _block_requests(entry, state):
-    """Have requests stay in a state, and tell when one is."""
+    """Block requests in a state; return an event that is set once one is blocked."""
     reached = asyncio.Event()
 
     async def wait(*args, **kwargs):
@@ -145,10 +145,7 @@
     await asking
 
 
-@when(
-    "requests of kind {kind} are under way while the entry host's time to stop runs out: "
-    "one {state}"
-)
+@when("requests of kind {kind} are in progress while the stop timeout expires: one {state}")
 def stop_until_timeout(context, kind, state):
     async def main():
         async with Rig() as r:
@@ -158,7 +155,7 @@
     asyncio.run(main())
 
 
-@when("requests of kind {kind} are under way while a part of the daemon keeps failing: one {state}")
+@when("requests of kind {kind} are in progress while a daemon part keeps failing: one {state}")
 def fail_daemon(context, kind, state):
     async def main():
         async with Rig() as r:
@@ -176,7 +173,7 @@
 
 
 class FailingDaemon(Daemon):
-    """A daemon whose callers are served by an entry host of a test, and whose only part fails."""
+    """A daemon that serves callers through a test's entry host, and whose only part fails."""
 
     def __init__(self, *, callers):
         super().__init__(settings=callers.settings)
@@ -192,7 +189,7 @@
 
     async def _fail(self):
         await self.may_fail.wait()
-        raise ValueError("a fault of ours")
+        raise ValueError("internal error")
 
 
 STOP_STEPS = [
@@ -206,10 +203,10 @@
 
 
 class StoppingDaemon(FailingDaemon):
-    """A daemon that is told to stop; one step of the stop may end otherwise.
+    """A daemon that stops at once; steps of the stop may fail or be cancelled.
 
     :param callers: the callers of a test's entry host.
-    :param ends_by_step: what a step does that ends otherwise.
+    :param ends_by_step: how a step ends that fails or is cancelled.
     """
 
     def __init__(self, *, callers, ends_by_step):
@@ -231,7 +228,7 @@
     def _record_readiness_stop(self):
         self.executed_steps.append("readiness.stop")
         if "readiness.stop" in self._ends_by_step:
-            raise ValueError("it broke")
+            raise ValueError("step failed")
 
     def _make_step(self, name):
         async def step(*args, **kwargs):
@@ -242,7 +239,7 @@
         return step
 
 
-@when("requests of kind {kind} are under way while a stop's {step} {ends}: one {state}")
+@when("requests of kind {kind} are in progress while a stop's {step} {ends}: one {state}")
 def stop_step_ends(context, kind, step, ends, state):
     ends_by_step = {step: {"is cancelled": cancelled, "fails": failed}[ends]}
 
@@ -264,16 +261,14 @@
     context.logged_args = [call.args for call in log_exception.call_args_list]
 
 
-@then("every step of the stop was taken, and a line names {step}")
+@then("every step of the stop was executed, and a log line names {step}")
 def check_all_steps_executed(context, step):
     assert context.ended_by is None, repr(context.ended_by)
     assert context.executed_steps == STOP_STEPS, context.executed_steps
     assert [step in args for args in context.logged_args] == [True], context.logged_args
 
 
-@when(
-    "requests of kind {kind} are under way while a part fails for good during the stop: one {state}"
-)
+@when("requests of kind {kind} are in progress while a failed part ends the stop: one {state}")
 def part_fails_in_stop(context, kind, state):
     async def main():
         async with Rig() as r:
@@ -293,13 +288,13 @@
     asyncio.run(main())
 
 
-@then("no step of the stop was taken after that")
+@then("no step of the stop was executed after that")
 def check_no_further_steps(context):
-    assert context.steps_before, "the stop had not begun"
+    assert context.steps_before, "the stop hasn't begun"
     assert context.executed_steps == context.steps_before, context.executed_steps
 
 
-@when("requests' caller still sends a body while the entry host's time to stop runs out")
+@when("requests' caller still sends a body while the entry host's stop timeout expires")
 def stop_during_body(context):
     async def main():
         async with Rig() as r:
@@ -316,10 +311,10 @@
 
 
 class SendingClock(Clock):
-    """A clock that sends a request just as its first sleep ends.
+    """A clock that sends a request just after its first sleep.
 
-    :param address: where to open a new connection.
-    :param sock: a connection that is open already, used instead of a new one.
+    :param address: the address for a new connection.
+    :param sock: an open connection to use instead of a new one.
     """
 
     def __init__(self, address, sock=None):
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the way of a request, with real sockets and the stand-in executors."""
+"""Steps for requests from caller to executor, with real sockets and stand-in executors."""
 
 import asyncio
 import os
@@ -19,7 +19,7 @@
     context.rig_options = {}
 
 
-@when("requests of kind {kind} meet {fault} on {on}")
+@when("requests of kind {kind} are sent with fault {fault} on {on}")
 def send_with_fault(context, kind, fault, on):
     async def main():
         async with Rig(**context.rig_options) as r:
@@ -36,7 +36,7 @@
             told = await r.ask(kind, query=query, timeout_s=1.0)
             context.told, context.runs = told, r.runs(told.path)
             told.check(context.runs, kind == "idempotent")
-            # What is left on the executor's side must not meet the next request.
+            # Faults that remain at the executors must not affect the next request.
             r.upstreams.faults.clear()
             r.upstreams.by_name["x1"].resume()
             told = await r.ask(kind, query=query)
@@ -53,7 +53,7 @@
     assert str(len(context.runs)) in count.split("/"), context.runs
 
 
-@when("requests with drawn faults are held against the executors' record")
+@when("requests with random faults are checked against the executors' record")
 def send_with_random_faults(context):
     runner, rig = asyncio.Runner(), Rig()
     faults = ["nothing", "reset_before_reading", "reset_after_reading", "reset_after_running"]
@@ -95,21 +95,21 @@
 
 
 async def until(condition):
-    """Wait until a condition holds, 10 s at the most."""
+    """Wait until a condition holds, for at most 10 s."""
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-@when("requests' caller hangs up while its {kind} request {state}")
+@when("requests' caller disconnects while its {kind} request {state}")
 def disconnect(context, kind, state):
     async def main():
         async with Rig() as r:
             if state == "waits for a slot":
                 r.entry.slots.open.clear()
             _, writer = await asyncio.open_connection("127.0.0.1", r.entry.callers.port)
-            # It runs for much longer than a process that is held up takes to notice the caller's
-            # end: a run of 0.3 s is over by the time that the slot is looked at.
+            # It runs for much longer than a delayed process takes to notice the disconnect: a run
+            # of 0.3 s is over by the time that the slot is checked.
             lines = f"{METHODS[kind]} /quotes/gone?run_s=3 HTTP/1.1\r\nHost: a\r\n"
             writer.write((lines + "Content-Length: 0\r\n\r\n").encode())
             await asyncio.wait_for(r.entry.slots.closed.wait(), 10)
@@ -167,7 +167,7 @@
     return await read_answer(reader)
 
 
-@then("requests in flight were answered and later ones truly refused")
+@then("requests in flight were answered and later ones refused and not run")
 def check_stop(context):
     assert [told.code for told in context.told] == [1000] * 5
     assert context.ready_answer.startswith(b"HTTP/1.1 503"), context.ready_answer
@@ -177,7 +177,7 @@
     assert not [run for run in context.runs if "late" in run.path]
 
 
-@when("requests are given {seconds:g} s by a {kind} caller while both executors refuse connections")
+@when("requests of kind {kind} have a timeout of {seconds:g} s while executors refuse connections")
 def send_without_executors(context, seconds, kind):
     async def main():
         async with Rig() as r:
--- a/features/steps/requests_wire_steps.py
+++ b/features/steps/requests_wire_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests and answers as they are on the wire: large, raw, malformed, in one piece."""
+"""Steps for requests and answers on the wire: large, raw, malformed, pipelined."""
 
 import asyncio
 
@@ -58,7 +58,7 @@
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", r.entry.callers.port, limit=1 << 16
             )
-            # The default of 5 s is no time for 200 MB where the test's process is held up.
+            # The default of 5 s is too short for 200 MB if the test's process is delayed.
             lines = b"GET /quotes/large?size=200000000 HTTP/1.1\r\nHost: a\r\n"
             writer.write(lines + b"X-Request-Timeout: 60\r\n\r\n")
             process, size, peak = psutil.Process(), 0, 0
@@ -75,7 +75,7 @@
     asyncio.run(main())
 
 
-@when("requests of kind {kind} meet an executor that answers {raw}")
+@when("requests of kind {kind} are sent to an executor that answers {raw}")
 def send_to_raw_executor(context, kind, raw):
     async def answer(reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
@@ -98,7 +98,7 @@
 
 def _unescape(text):
     raw = text.encode().replace(b"\\r", b"\r").replace(b"\\n", b"\n").replace(b"\\0", b"\0")
-    # Python refuses to make a number of more than 4300 digits.
+    # Python refuses to convert more than 4300 digits to an int.
     return raw.replace(b"<big>", b"9" * 9).replace(b"<huge>", b"9" * 5000)
 
 
@@ -107,7 +107,7 @@
     assert context.told.code == code, (context.told.code, context.told.resp.body)
 
 
-@then("requests took less than {size:d} MB more memory")
+@then("requests used less than {size:d} MB of extra memory")
 def check_memory(context, size):
     assert context.memory_growth < size * 1_000_000, context.memory_growth
 
@@ -137,7 +137,7 @@
     asyncio.run(main())
 
 
-@then("requests' slot is free when the time is over, and the connection is reset")
+@then("requests' slot is free after the timeout, and the connection is reset")
 def check_stop_reading(context):
     assert context.held_slots == 0 and context.ended == "reset", (context.held_slots, context.ended)
 
@@ -166,7 +166,7 @@
 
 
 class JumpingClock(Clock):
-    """A clock that jumps when its process wakes."""
+    """A clock that jumps ahead by ``jump_s``, as after a freeze of its process."""
 
     jump_s = 0.0
 
@@ -174,13 +174,13 @@
         return super().monotonic() + self.jump_s
 
 
-@when("requests are in hand while the entry host freezes as it {waits}")
-def freeze_while_sending(context, waits):
+@when("requests are in progress while the entry host freezes as it {state}")
+def freeze_while_sending(context, state):
     async def main():
         clock = JumpingClock()
         async with Rig(clock=clock) as r:
-            target = r.entry.slots if waits == "waits for a slot" else r.entry.sessions.upstreams
-            method_name = "acquire" if waits == "waits for a slot" else "_connect"
+            target = r.entry.slots if state == "waits for a slot" else r.entry.sessions.upstreams
+            method_name = "acquire" if state == "waits for a slot" else "_connect"
             original_method = getattr(target, method_name)
 
             async def frozen(*args, **kwargs):
@@ -195,7 +195,7 @@
     asyncio.run(main())
 
 
-@when("requests come {count:d} at once on one connection, the first the slowest")
+@when("requests arrive {count:d} at once on one connection, the first the slowest")
 def send_pipelined(context, count):
     async def main():
         async with Rig() as r:
@@ -209,14 +209,14 @@
     asyncio.run(main())
 
 
-@then("requests are answered in that order, each its own")
+@then("requests are answered in that order, each with its own answer")
 def check_pipelined(context):
     for path, answer in context.received:
         assert f"X-Request-Id: {path}\r\n".encode() in answer, (path, answer)
         assert check_body(answer.partition(b"\r\n\r\n")[2])["path"] == path
 
 
-@when("requests' callers send ten bodies that are too large together")
+@when("requests' callers send ten bodies that are too large in total")
 def send_large_bodies(context):
     async def main():
         async with Rig(callers={"max_held_bytes": 200_000}) as r:
@@ -235,7 +235,7 @@
     assert context.codes == {1000, 1113}, context.codes
 
 
-@when("requests come on ten connections where two are allowed")
+@when("requests arrive on ten connections where two are allowed")
 def open_many_connections(context):
     async def main():
         async with Rig(callers={"max_connections": 2}) as r:
