--- a/features/steps/requests_endings_steps.py
+++ b/features/steps/requests_endings_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests whose handling ends early: by a fault, a cancellation or a stop."""
+"""Steps for requests whose handling ends early: by an error, a cancellation or a stop."""
 
 import asyncio
 import socket
@@ -18,54 +18,54 @@
 from mustardgap.exceptions import ChildFailed
 from mustardgap.timers import Clock
 
-ENDINGS = {
-    "fails": ValueError("a fault of ours"),
-    "fails by a timeout": TimeoutError("a timeout that nobody expected"),
+FAILURES = {
+    "fails": ValueError("internal error"),
+    "fails by a timeout": TimeoutError("unexpected timeout"),
     "is cancelled": asyncio.CancelledError(),
 }
 
 
 def unanswered_counts():
-    """Requests whose handling ended without an answer, by how it ended."""
+    """Count the requests whose handling ended without an answer, by how it ended."""
     return {o.attributes["how"]: o.value for o in metrics.unanswered_requests.read(None)}
 
 
-def _end_handling(entry, ends, state):
-    """Have the handling of the requests that are in a state end."""
+def _make_handling_fail(entry, ends, state):
+    """Make the handling of requests in a state raise an exception."""
 
-    def end(*args, **kwargs):
-        raise ENDINGS[ends]
+    def fail(*args, **kwargs):
+        raise FAILURES[ends]
 
-    async def end_later(*args, **kwargs):
-        end()
+    async def fail_async(*args, **kwargs):
+        fail()
 
-    if state == "is looked at":
-        entry.callers.refusal = end
+    if state == "is admitted":
+        entry.callers.refusal = fail
     elif state == "waits for a slot":
-        entry.slots.acquire = end_later
+        entry.slots.acquire = fail_async
     elif state == "claims its key":
-        entry.keys.claim = end_later
+        entry.keys.claim = fail_async
     else:
-        entry.executors.report = end
+        entry.executors.report = fail
 
 
-@when("requests of kind {kind} have their handling end as it {ends} while the request {state}")
-def end_handling(context, kind, ends, state):
+@when("requests of kind {kind} are sent and their handling {ends} while the request {state}")
+def send_and_fail_handling(context, kind, ends, state):
     async def main():
         async with Rig() as r:
-            _end_handling(r.entry, ends, state)
+            _make_handling_fail(r.entry, ends, state)
             await _ask_and_check(context, r, kind)
 
     asyncio.run(main())
 
 
 async def _ask_and_check(context, r, kind, query=""):
-    """Send a request, and hold its answer against what ran; nothing may be left of it."""
+    """Send a request, and check its answer against what ran; its slot must be free again."""
     before = unanswered_counts()
     headers = {"Idempotency-Key": "k"} if kind == "keyed" else {}
     context.told = await r.ask(kind, headers=headers, query=query)
     assert context.told.code, (context.told.resp.code, context.told.resp.error)
-    # What has begun goes on at the executor, and is on record when it has ended.
+    # A run that has begun continues at the executor, and is recorded when it ends.
     await until(lambda: not any(x.show()["running"] for x in r.upstreams.by_name.values()))
     context.runs = r.runs()
     context.told.check(context.runs, kind == "idempotent")
@@ -78,7 +78,7 @@
     assert r.entry.slots.held == 0
 
 
-@then("requests without an outcome are counted as {how} once, with a line that names each")
+@then("requests without an outcome are counted as {how} once, with an event for each")
 def check_counted(context, how):
     assert context.counts == {how: 1}, context.counts
     events = [event for event in context.events if event.kind == "request.unanswered"]
@@ -88,10 +88,10 @@
 
 
 @when("requests' handling {ends} after a part of a large answer")
-def end_after_part(context, ends):
+def fail_after_part(context, ends):
     async def main():
         async with Rig() as r:
-            _end_handling(r.entry, ends, "has run")
+            _make_handling_fail(r.entry, ends, "has run")
             reader, writer = await asyncio.open_connection("127.0.0.1", r.entry.callers.port)
             writer.write(b"GET /quotes/large?size=3000000&chunked=1 HTTP/1.0\r\nHost: a\r\n\r\n")
             context.received, context.ended = b"", "open"
@@ -111,14 +111,14 @@
     return "closed"
 
 
-def _shorten_stop(entry, stop_s=0.4):
-    """Give an entry host little time to stop."""
+def _shorten_stop_timeout(entry, stop_s=0.4):
+    """Shorten the stop timeout of an entry host."""
     callers = entry.callers
     callers.settings = msgspec.structs.replace(callers.settings, stop_timeout_s=stop_s)
 
 
-def _hold(entry, state):
-    """Have requests stay in a state, and tell when one is."""
+def _block_requests(entry, state):
+    """Block requests in a state; return an event that is set once one is blocked."""
     reached = asyncio.Event()
 
     async def wait(*args, **kwargs):
@@ -132,9 +132,9 @@
     return reached
 
 
-async def _stop_under_way(context, r, kind, state, stop):
+async def _stop_during_request(context, r, kind, state, stop):
     """Stop an entry host while a request is in a state."""
-    reached = _hold(r.entry, state)
+    reached = _block_requests(r.entry, state)
     query = "run_s=2" if state == "runs" else ""
     asking = asyncio.create_task(_ask_and_check(context, r, kind, query))
     if state == "runs":
@@ -145,20 +145,17 @@
     await asking
 
 
-@when(
-    "requests of kind {kind} are under way while the entry host's time to stop runs out: "
-    "one {state}"
-)
-def stop_in_vain(context, kind, state):
+@when("requests of kind {kind} are in progress while the stop timeout expires: one {state}")
+def stop_until_timeout(context, kind, state):
     async def main():
         async with Rig() as r:
-            _shorten_stop(r.entry)
-            await _stop_under_way(context, r, kind, state, r.entry.callers.drain)
+            _shorten_stop_timeout(r.entry)
+            await _stop_during_request(context, r, kind, state, r.entry.callers.drain)
 
     asyncio.run(main())
 
 
-@when("requests of kind {kind} are under way while a part of the daemon keeps failing: one {state}")
+@when("requests of kind {kind} are in progress while a daemon part keeps failing: one {state}")
 def fail_daemon(context, kind, state):
     async def main():
         async with Rig() as r:
@@ -169,14 +166,14 @@
                 daemon.may_fail.set()
                 await asyncio.wait([running], timeout=10)
 
-            await _stop_under_way(context, r, kind, state, fail)
+            await _stop_during_request(context, r, kind, state, fail)
             assert isinstance(running.exception(), ChildFailed), running
 
     asyncio.run(main())
 
 
 class FailingDaemon(Daemon):
-    """A daemon whose callers are served by an entry host of a test, and whose only part fails."""
+    """A daemon that serves callers through a test's entry host, and whose only part fails."""
 
     def __init__(self, *, callers):
         super().__init__(settings=callers.settings)
@@ -192,7 +189,7 @@
 
     async def _fail(self):
         await self.may_fail.wait()
-        raise ValueError("a fault of ours")
+        raise ValueError("internal error")
 
 
 STOP_STEPS = [
@@ -206,43 +203,43 @@
 
 
 class StoppingDaemon(FailingDaemon):
-    """A daemon that is told to stop; one step of the stop may end otherwise.
+    """A daemon that stops at once; steps of the stop may fail or be cancelled.
 
     :param callers: the callers of a test's entry host.
-    :param ends_by_step: what a step does that ends otherwise.
+    :param ends_by_step: how a step ends that fails or is cancelled.
     """
 
     def __init__(self, *, callers, ends_by_step):
         super().__init__(callers=callers)
-        self.taken = []
+        self.executed_steps = []
         self._ends_by_step = ends_by_step
-        self.readiness = SimpleNamespace(stop=self._end_readiness)
+        self.readiness = SimpleNamespace(stop=self._record_readiness_stop)
         self.parts.timeline = callers.timeline
         self.parts.slots = SimpleNamespace(sharing=None)
         for step in STOP_STEPS[1:]:
             part, method = step.split(".")
             if not hasattr(self.parts, part):
                 setattr(self.parts, part, SimpleNamespace())
-            setattr(getattr(self.parts, part), method, self._step(step))
+            setattr(getattr(self.parts, part), method, self._make_step(step))
 
     async def _start(self):
         self._stop.set()
 
-    def _end_readiness(self):
-        self.taken.append("readiness.stop")
+    def _record_readiness_stop(self):
+        self.executed_steps.append("readiness.stop")
         if "readiness.stop" in self._ends_by_step:
-            raise ValueError("it broke")
+            raise ValueError("step failed")
 
-    def _step(self, name):
+    def _make_step(self, name):
         async def step(*args, **kwargs):
-            self.taken.append(name)
+            self.executed_steps.append(name)
             if name in self._ends_by_step:
                 await self._ends_by_step[name]()
 
         return step
 
 
-@when("requests of kind {kind} are under way while a stop's {step} {ends}: one {state}")
+@when("requests of kind {kind} are in progress while a stop's {step} {ends}: one {state}")
 def stop_step_ends(context, kind, step, ends, state):
     ends_by_step = {step: {"is cancelled": cancelled, "fails": failed}[ends]}
 
@@ -256,24 +253,22 @@
                 ended_by = asyncio.CancelledError() if running.cancelled() else running.exception()
                 context.ended_by = ended_by
 
-            await _stop_under_way(context, r, kind, state, stop)
-            context.taken = daemon.taken
+            await _stop_during_request(context, r, kind, state, stop)
+            context.executed_steps = daemon.executed_steps
 
-    with mock.patch.object(logging, "exception") as lines:
+    with mock.patch.object(logging, "exception") as log_exception:
         asyncio.run(main())
-    context.lines = [call.args for call in lines.call_args_list]
+    context.logged_args = [call.args for call in log_exception.call_args_list]
 
 
-@then("every step of the stop was taken, and a line names {step}")
-def every_step_taken(context, step):
+@then("every step of the stop was executed, and a log line names {step}")
+def check_all_steps_executed(context, step):
     assert context.ended_by is None, repr(context.ended_by)
-    assert context.taken == STOP_STEPS, context.taken
-    assert [step in args for args in context.lines] == [True], context.lines
+    assert context.executed_steps == STOP_STEPS, context.executed_steps
+    assert [step in args for args in context.logged_args] == [True], context.logged_args
 
 
-@when(
-    "requests of kind {kind} are under way while a part fails for good during the stop: one {state}"
-)
+@when("requests of kind {kind} are in progress while a failed part ends the stop: one {state}")
 def part_fails_in_stop(context, kind, state):
     async def main():
         async with Rig() as r:
@@ -282,28 +277,28 @@
             async def stop():
                 running = asyncio.create_task(daemon.run())
                 await until(lambda: r.entry.callers.draining)
-                context.before = list(daemon.taken)
+                context.steps_before = list(daemon.executed_steps)
                 daemon.may_fail.set()
                 await asyncio.wait([running], timeout=10)
                 assert isinstance(running.exception(), ChildFailed), running
 
-            await _stop_under_way(context, r, kind, state, stop)
-            context.taken = daemon.taken
+            await _stop_during_request(context, r, kind, state, stop)
+            context.executed_steps = daemon.executed_steps
 
     asyncio.run(main())
 
 
-@then("no step of the stop was taken after that")
-def no_more_steps(context):
-    assert context.before, "the stop had not begun"
-    assert context.taken == context.before, context.taken
+@then("no step of the stop was executed after that")
+def check_no_further_steps(context):
+    assert context.steps_before, "the stop hasn't begun"
+    assert context.executed_steps == context.steps_before, context.executed_steps
 
 
-@when("requests' caller still sends a body while the entry host's time to stop runs out")
-def stop_within_body(context):
+@when("requests' caller still sends a body while the entry host's stop timeout expires")
+def stop_during_body(context):
     async def main():
         async with Rig() as r:
-            _shorten_stop(r.entry)
+            _shorten_stop_timeout(r.entry)
             reader, writer = await asyncio.open_connection("127.0.0.1", r.entry.callers.port)
             writer.write(b"POST /quotes/slow HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc")
             await until(lambda: r.entry.callers.held_bytes)
@@ -316,10 +311,10 @@
 
 
 class SendingClock(Clock):
-    """A clock that sends a request just as its first sleep ends.
+    """A clock that sends a request just after its first sleep.
 
-    :param address: where to open a new connection.
-    :param sock: a connection that is open already, used instead of a new one.
+    :param address: the address for a new connection.
+    :param sock: an open connection to use instead of a new one.
     """
 
     def __init__(self, address, sock=None):
@@ -336,7 +331,7 @@
 
 
 @when("requests' caller sends one on a {which} connection just as the entry host closes")
-def send_at_the_end(context, which):
+def send_while_closing(context, which):
     async def main():
         async with Rig() as r:
             loop = asyncio.get_running_loop()
