--- a/features/steps/entries_steps.py
+++ b/features/steps/entries_steps.py
@@ -141,7 +141,7 @@
 @then("the good ones are known, and each bad one is logged once")
 def check_list(context):
     assert sorted(context.board.entries_by_id) == ["x0", "x1", "x2"]
-    lines = [line for line in context.events.kept if line["event"] == "executor.invalid"]
+    lines = [line for line in context.events.captured if line["event"] == "executor.invalid"]
     assert sorted(line["executor"] for line in lines) == sorted(context.bad), lines
     assert all(line["why"] for line in lines), lines
 
@@ -248,7 +248,7 @@
         ids = range(1, 5)
         await asyncio.gather(*(_run_job(world, context.states, job_id_of(n)) for n in ids))
         await asyncio.sleep(20)
-        context.lines = [x for d in world.daemons_by_address.values() for x in d.events.kept]
+        context.lines = [x for d in world.daemons_by_address.values() for x in d.events.captured]
 
     context.world = play(scene)
 
@@ -283,7 +283,7 @@
         await asyncio.sleep(seconds)
         world.machines.unreadable.clear()
         await work
-        context.lines = [x for d in world.daemons_by_address.values() for x in d.events.kept]
+        context.lines = [x for d in world.daemons_by_address.values() for x in d.events.captured]
 
     context.states = {}
     context.world = play(scene)
--- a/features/steps/events_steps.py
+++ b/features/steps/events_steps.py
@@ -10,7 +10,7 @@
 from mustardgap.timers import Clock
 
 
-class _Still(Clock):
+class _ManualClock(Clock):
     """A clock that stands still unless it is moved."""
 
     def __init__(self):
@@ -26,38 +26,38 @@
 @given("an event log into a pipe that nobody reads")
 def log_into_pipe(context):
     context.reader, writer = os.pipe()
-    context.clock = _Still()
+    context.clock = _ManualClock()
     context.log = EventLog(host="e1", clock=context.clock, descriptor=writer)
 
 
 @given("an event log that keeps its lines")
-def log_that_keeps(context):
-    context.clock = _Still()
+def log_in_memory(context):
+    context.clock = _ManualClock()
     context.log = EventLog(host="e1", clock=context.clock)
 
 
 @when("{count:d} lines are noted")
-def lines_noted(context, count):
+def log_lines(context, count):
     for number in range(count):
         context.clock.now += 0.01
         context.log.note("run.start", vital=True, job=f"{number:016x}", why="x" * 250)
 
 
 @when("{count:d} {kind} lines are noted within a second")
-def lines_of_kind(context, count, kind):
+def log_lines_of_kind(context, count, kind):
     for number in range(count):
         context.clock.now += 1 / count
         context.log.note(kind, vital=kind == "vital", number=number)
 
 
 @then("all calls have returned and lines were left out")
-def left_out(context):
+def check_left_out(context):
     context.left_out = context.log.left_out
     assert context.left_out > 0
 
 
 @then("the next line that is read tells how many were left out")
-def told(context):
+def check_left_out_reported(context):
     os.set_blocking(context.reader, False)
     for _ in range(200):
         try:
@@ -74,13 +74,13 @@
 
 
 @then("between {least:d} and {most:d} lines were written")
-def bounded(context, least, most):
-    assert least <= len(context.log.kept) <= most, len(context.log.kept)
+def check_line_count(context, least, most):
+    assert least <= len(context.log.captured) <= most, len(context.log.captured)
 
 
 @then("the last {count:d} lines are the vital ones")
-def last_vital(context, count):
-    assert [row["event"] for row in context.log.kept[-count:]] == ["vital"] * count
+def check_last_lines(context, count):
+    assert [row["event"] for row in context.log.captured[-count:]] == ["vital"] * count
 
 
 FIRST_LOG = """starting
@@ -97,7 +97,7 @@
 
 
 @given("logs of two daemons, the first of which was killed and the second took over")
-def two_logs(context):
+def write_two_logs(context):
     context.logs = [context.folder / "e1.log", context.folder / "e2.log"]
     for path, text in zip(context.logs, (FIRST_LOG, SECOND_LOG), strict=True):
         path.write_text(text)
@@ -113,7 +113,7 @@
 
 
 @given("logs in which executors crashed under two tasks, and one of them answered again")
-def crash_logs(context):
+def write_crash_logs(context):
     context.logs = [context.folder / "e1.log"]
     context.logs[0].write_text(CRASH_LOG)
 
@@ -121,35 +121,35 @@
 @then(
     "the page says of each task how many executors crashed under it, without the one that answered"
 )
-def page_names_crashes(context):
+def check_page_crashes(context):
     text = context.page.read_text()
     rows = "<td>{}</td><td>{}</td><td>{}</td>"
     assert rows.format("a1.0.0.2", 2, "ONLY_STARTED, STARTED") in text, text[:3000]
     assert rows.format("b2.0.0.0", 1, "STARTED") in text, text[:3000]
 
 
-def _draw(context, logs):
+def _render(context, logs):
     context.page = context.folder / "day.html"
     options = [part for path in logs for part in ("--logs", str(path))]
-    context.ran = run_command("report", *options, "--out", str(context.page))
+    context.result = run_command("report", *options, "--out", str(context.page))
 
 
 @when("a page is drawn from the logs")
-def draw(context):
-    _draw(context, context.logs)
-    assert context.ran.status == 0, context.ran.stderr
+def render(context):
+    _render(context, context.logs)
+    assert context.result.status == 0, context.result.stderr
 
 
 @when("a page is drawn from logs that {flaw}")
-def draw_flawed(context, flaw):
+def render_flawed(context, flaw):
     path = context.folder / "flawed.log"
     if "hold" in flaw:
         path.write_text("starting\n")
-    _draw(context, [path])
+    _render(context, [path])
 
 
 @then("the page names both owners of shard 3 with their epochs, what was lost, and lines left out")
-def page_names(context):
+def check_page_tables(context):
     text = context.page.read_text()
     cells = "<td>3</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td>"
     # The first one's ownership ends with the last line that it wrote whole.
@@ -160,7 +160,7 @@
 
 
 @then("its plots show jobs, answers, runs and the owners")
-def page_plots(context):
+def check_page_plots(context):
     text = context.page.read_text()
     assert text.count("<svg") == 1
     for label in ("accepted", "ended: completed", "submit MG4020", "end: done", "e1", "e2"):
@@ -168,6 +168,6 @@
 
 
 @then("the report ends in {code}, which names {text}")
-def report_ends(context, code, text):
-    assert context.ran.status != 0
-    assert code in context.ran.stderr and text in context.ran.stderr, context.ran.stderr
+def check_report_fails(context, code, text):
+    assert context.result.status != 0
+    assert code in context.result.stderr and text in context.result.stderr, context.result.stderr
--- a/features/steps/fronts_steps.py
+++ b/features/steps/fronts_steps.py
@@ -178,7 +178,7 @@
         connection = await Connection.open(port)
         connection.send(*REQUESTS["new job"])
         context.ended = await connection.has_ended()
-        context.lines = [row for row in rig.events.kept if row["event"] == "answer.unwritten"]
+        context.lines = [row for row in rig.events.captured if row["event"] == "answer.unwritten"]
 
     with_front("goes on", scene)
 
--- a/features/steps/owners_parts_steps.py
+++ b/features/steps/owners_parts_steps.py
@@ -70,7 +70,7 @@
 
 
 def _log_lines(world):
-    return [line for d in world.daemons_by_address.values() for line in d.events.kept]
+    return [line for d in world.daemons_by_address.values() for line in d.events.captured]
 
 
 @when("{count:d} jobs are submitted, and what the owner's {part} await is cancelled")
@@ -356,7 +356,7 @@
         context.unlisted = [
             line
             for daemon in world.daemons_by_address.values()
-            for line in daemon.events.kept
+            for line in daemon.events.captured
             if line["event"] == "executor.unlisted"
         ]
 
--- a/features/steps/owners_steps.py
+++ b/features/steps/owners_steps.py
@@ -42,7 +42,7 @@
 
 
 def _log_lines(world):
-    return [line for d in world.daemons_by_address.values() for line in d.events.kept]
+    return [line for d in world.daemons_by_address.values() for line in d.events.captured]
 
 
 @when("{count:d} short jobs are submitted while executors lose answers")
--- a/features/steps/peer_calls_steps.py
+++ b/features/steps/peer_calls_steps.py
@@ -144,7 +144,7 @@
         await server.start(address)
         context.unreachable = await _call(address, timeout_s=3.0)
         await server.stop()
-        context.lines = [row for row in events.kept if row["event"] == "call.unanswered"]
+        context.lines = [row for row in events.captured if row["event"] == "call.unanswered"]
 
     asyncio.run(main())
 
--- a/features/support/front_rigs.py
+++ b/features/support/front_rigs.py
@@ -124,7 +124,7 @@
     @property
     def unanswered(self):
         """The lines that tell of handling without an answer."""
-        return [row for row in self.events.kept if row["event"] == "request.unanswered"]
+        return [row for row in self.events.captured if row["event"] == "request.unanswered"]
 
 
 def with_front(handling, scene: Callable):
--- a/mustardgap/callers.py
+++ b/mustardgap/callers.py
@@ -188,7 +188,7 @@
     def on_close(self, server_conn: object) -> None:
         """Remove a closed connection."""
         self._connections.discard(cast(HTTP1ServerConnection, server_conn))
-        metrics.callers_connections.add(-1)
+        metrics.caller_connections.add(-1)
 
     def _accept(self, sock: socket.socket, address: Any) -> None:
         callers = self.settings.callers
@@ -207,7 +207,7 @@
         )
         connection = HTTP1ServerConnection(stream, parameters)
         self._connections.add(connection)
-        metrics.callers_connections.add(1)
+        metrics.caller_connections.add(1)
         connection.start_serving(self)
 
     async def _wait_until_idle(self, deadline: float) -> None:
--- a/mustardgap/events.py
+++ b/mustardgap/events.py
@@ -19,7 +19,7 @@
 BURST = 1000
 MAX_TEXT = 300
 # A reader that is late for this many bytes loses lines.
-MAX_WAITING_BYTES = 256 * 1024
+MAX_UNWRITTEN_BYTES = 256 * 1024
 
 
 class EventLog:
@@ -27,7 +27,7 @@
 
     :param host: this host's name.
     :param clock: the clocks to read.
-    :param descriptor: where lines go; None keeps them in ``kept`` for tests.
+    :param descriptor: where lines go; None keeps them in ``captured`` for tests.
     """
 
     def __init__(
@@ -35,12 +35,12 @@
     ) -> None:
         self.host = host
         self.clock = clock or Clock()
-        self.kept: list[dict[str, Any]] = []
+        self.captured: list[dict[str, Any]] = []
         self.left_out = 0
         self._descriptor = descriptor
         self._tokens = float(BURST)
-        self._at = self.clock.monotonic()
-        self._waiting = b""
+        self._refilled_at = self.clock.monotonic()
+        self._unwritten = b""
         self._encoder = msgspec.json.Encoder(enc_hook=str)
         if descriptor is not None:
             os.set_blocking(descriptor, False)
@@ -52,25 +52,25 @@
         :param vital: written beyond the usual rate too, for what explains a refusal or a failure.
         :param fields: ids, inputs and outcome; long texts are cut.
         """
-        if not self._allowed(vital):
+        if not self._take_token(vital):
             self.left_out += 1
             metrics.log_lines.add(1, {"result": "suppressed"})
             return
         row = {"time": round(self.clock.wall(), 4), "host": self.host, "event": event}
-        row.update((key, _short(value)) for key, value in fields.items() if value is not None)
+        row.update((key, _shorten(value)) for key, value in fields.items() if value is not None)
         if self.left_out:
             row["left_out"] = self.left_out
             self.left_out = 0
         metrics.log_lines.add(1, {"result": "written"})
         if self._descriptor is None:
-            self.kept.append(row)
+            self.captured.append(row)
             return
         self._write(self._encoder.encode(row) + b"\n")
 
-    def _allowed(self, vital: bool) -> bool:
+    def _take_token(self, vital: bool) -> bool:
         now = self.clock.monotonic()
-        self._tokens = min(BURST, self._tokens + (now - self._at) * LINES_PER_S)
-        self._at = now
+        self._tokens = min(BURST, self._tokens + (now - self._refilled_at) * LINES_PER_S)
+        self._refilled_at = now
         # Vital lines may use up a reserve that the others leave, and are bounded by it too.
         if self._tokens < (1 if vital else BURST / 4):
             return False
@@ -79,24 +79,24 @@
 
     def _write(self, line: bytes) -> None:
         assert self._descriptor is not None
-        if len(self._waiting) + len(line) > MAX_WAITING_BYTES:
+        if len(self._unwritten) + len(line) > MAX_UNWRITTEN_BYTES:
             self.left_out += 1
             metrics.log_lines.add(1, {"result": "suppressed"})
             return
-        self._waiting += line
+        self._unwritten += line
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             return
         except OSError:
             # The reader is gone for good; the process goes on without lines, and counts them.
-            self._waiting = b""
+            self._unwritten = b""
             metrics.log_lines.add(1, {"result": "lost"})
             return
-        self._waiting = self._waiting[written:]
+        self._unwritten = self._unwritten[written:]
 
 
-def _short(value: Any) -> Any:
+def _shorten(value: Any) -> Any:
     if isinstance(value, str):
         return value[:MAX_TEXT]
     if isinstance(value, float):
--- a/mustardgap/metrics.py
+++ b/mustardgap/metrics.py
@@ -13,8 +13,8 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 MAX_SERIES = 2000
-OVERFLOW = (("otel.metric.overflow", "true"),)
-SECONDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 60.0)
+OVERFLOW_ATTRIBUTES = (("otel.metric.overflow", "true"),)
+BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 60.0)
 
 
 class Spec(NamedTuple):
@@ -29,7 +29,7 @@
 
 specs_by_name: dict[str, Spec] = {}
 _callbacks_by_name: dict[str, Callable[[], float]] = {}
-_OBSERVED = ("gauge", "observed counter")
+_OBSERVED_KINDS = ("gauge", "observed counter")
 
 # The registry is our own: the default one adds collectors of the process that we don't document.
 _registry = CollectorRegistry(auto_describe=False)
@@ -63,7 +63,7 @@
         counts = self._counts_by_attributes
         if key not in counts and len(counts) >= MAX_SERIES:
             # Attributes that come from outside mustn't be able to fill the memory.
-            key = OVERFLOW
+            key = OVERFLOW_ATTRIBUTES
         counts[key] = counts.get(key, 0) + amount
 
     def read(self, _: CallbackOptions) -> list[Observation]:
@@ -84,19 +84,19 @@
     :param callback: a function that returns the value.
     :raises KeyError: there is no such instrument.
     """
-    if specs_by_name[name].kind not in _OBSERVED:
+    if specs_by_name[name].kind not in _OBSERVED_KINDS:
         raise KeyError(name)
     _callbacks_by_name[name] = callback
 
 
-def _note(kind: str, name: str, unit: str, description: str, attributes: tuple[str, ...]) -> None:
+def _define(kind: str, name: str, unit: str, description: str, attributes: tuple[str, ...]) -> None:
     if name in specs_by_name:
         raise ValueError(f"{name} is defined already")
     specs_by_name[name] = Spec(name, kind, unit, description, attributes)
 
 
 def _counter(name: str, unit: str, description: str, *attributes: str) -> Tally:
-    _note("counter", name, unit, description, attributes)
+    _define("counter", name, unit, description, attributes)
     tally = Tally(name)
     _meter.create_observable_counter(
         name, callbacks=[tally.read], unit=unit, description=description
@@ -104,8 +104,8 @@
     return tally
 
 
-def _level(name: str, unit: str, description: str, *attributes: str) -> Tally:
-    _note("up-down counter", name, unit, description, attributes)
+def _up_down_counter(name: str, unit: str, description: str, *attributes: str) -> Tally:
+    _define("up-down counter", name, unit, description, attributes)
     tally = Tally(name)
     _meter.create_observable_up_down_counter(
         name, callbacks=[tally.read], unit=unit, description=description
@@ -113,22 +113,22 @@
     return tally
 
 
-def _seconds(name: str, description: str, *attributes: str) -> Histogram:
-    _note("histogram", name, "s", description, attributes)
+def _duration_histogram(name: str, description: str, *attributes: str) -> Histogram:
+    _define("histogram", name, "s", description, attributes)
     return _meter.create_histogram(
-        name, unit="s", description=description, explicit_bucket_boundaries_advisory=SECONDS
+        name, unit="s", description=description, explicit_bucket_boundaries_advisory=BUCKETS_S
     )
 
 
 def _gauge(name: str, unit: str, description: str) -> None:
-    _note("gauge", name, unit, description, ())
+    _define("gauge", name, unit, description, ())
     _meter.create_observable_gauge(
         name, callbacks=[_reader_of(name)], unit=unit, description=description
     )
 
 
-def _observed(name: str, unit: str, description: str) -> None:
-    _note("observed counter", name, unit, description, ())
+def _observed_counter(name: str, unit: str, description: str) -> None:
+    _define("observed counter", name, unit, description, ())
     _meter.create_observable_counter(
         name, callbacks=[_reader_of(name)], unit=unit, description=description
     )
@@ -146,16 +146,16 @@
 requests = _counter(
     "mustardgap.requests", "{request}", "Requests by outcome", "service", "mustardgap.code"
 )
-request_duration = _seconds(
+request_duration = _duration_histogram(
     "mustardgap.request.duration", "From a request's head to the end of its answer", "service"
 )
-active_requests = _level(
+active_requests = _up_down_counter(
     "mustardgap.requests.active", "{request}", "Requests being served", "service"
 )
 retries = _counter(
     "mustardgap.request.retries", "{try}", "Tries after a request's first", "service"
 )
-callers_connections = _level(
+caller_connections = _up_down_counter(
     "mustardgap.callers.connections", "{connection}", "Open connections of callers"
 )
 refused_connections = _counter(
@@ -166,11 +166,15 @@
 )
 
 # Executors and slots.
-queue_wait = _seconds("mustardgap.queue.wait", "From asking for a slot to having one", "service")
-queue_length = _level(
+queue_wait = _duration_histogram(
+    "mustardgap.queue.wait", "From asking for a slot to having one", "service"
+)
+queue_length = _up_down_counter(
     "mustardgap.queue.length", "{request}", "Requests that wait for a slot", "service"
 )
-slots_used = _level("mustardgap.slots.used", "{slot}", "Slots in use by this entry host", "service")
+slots_used = _up_down_counter(
+    "mustardgap.slots.used", "{slot}", "Slots in use by this entry host", "service"
+)
 slots_lent = _counter("mustardgap.slots.lent", "{slot}", "Slots lent to other entry hosts")
 ejections = _counter(
     "mustardgap.executor.ejections", "{executor}", "Executors ejected as outliers", "service"
@@ -181,7 +185,7 @@
 
 # The log.
 log_appends = _counter("mustardgap.log.appends", "{record}", "Records appended", "purpose")
-log_append_duration = _seconds("mustardgap.log.append.duration", "From append to answer")
+log_append_duration = _duration_histogram("mustardgap.log.append.duration", "From append to answer")
 log_errors = _counter("mustardgap.log.errors", "{call}", "Failed calls to the log", "call")
 log_reads = _counter("mustardgap.log.reads", "{record}", "Records read from the log")
 fold_verdicts = _counter(
@@ -192,8 +196,8 @@
 _gauge("mustardgap.log.age", "s", "Time since this entry host last knew that it was current")
 
 # Peers.
-_observed("mustardgap.peers.sent", "By", "Bytes sent to peers")
-_observed("mustardgap.peers.received", "By", "Bytes received from peers")
+_observed_counter("mustardgap.peers.sent", "By", "Bytes sent to peers")
+_observed_counter("mustardgap.peers.received", "By", "Bytes received from peers")
 member_changes = _counter(
     "mustardgap.member.changes", "{change}", "Changes of entry hosts' states", "state"
 )
@@ -203,7 +207,7 @@
 actor_steps = _counter(
     "mustardgap.actor.steps", "{step}", "Steps carried out on the platform", "kind", "result"
 )
-plan_duration = _seconds("mustardgap.plan.duration", "Time to work out one plan")
+plan_duration = _duration_histogram("mustardgap.plan.duration", "Time to work out one plan")
 plan_moves = _counter("mustardgap.plan.moves", "{move}", "Moves of hosts between pools", "reason")
 jobs_ended = _counter("mustardgap.jobs.ended", "{job}", "Jobs ended by code", "mustardgap.code")
 job_attempts = _counter("mustardgap.job.attempts", "{attempt}", "Attempts by outcome", "outcome")
@@ -212,16 +216,18 @@
 _gauge("mustardgap.budget.breaches", "{service}", "Services below their availability budget")
 
 # The daemon.
-_observed("mustardgap.child.restarts", "{restart}", "Restarts of the daemon's parts")
-gaps = _counter("mustardgap.process.gaps", "{gap}", "Gaps in which the process didn't run")
+_observed_counter("mustardgap.child.restarts", "{restart}", "Restarts of the daemon's parts")
+process_gaps = _counter("mustardgap.process.gaps", "{gap}", "Gaps in which the process didn't run")
 job_calls = _counter(
     "mustardgap.job_calls", "{call}", "Calls of the job interface by outcome", "call", "code"
 )
-job_call_duration = _seconds("mustardgap.job_call.duration", "Time to answer a caller", "call")
+job_call_duration = _duration_histogram(
+    "mustardgap.job_call.duration", "Time to answer a caller", "call"
+)
 dispatched_jobs = _counter(
     "mustardgap.dispatched_jobs.ended", "{job}", "Jobs ended by their owner", "phase"
 )
-placement_wait = _seconds(
+placement_wait = _duration_histogram(
     "mustardgap.placement.wait", "Time from a job's acceptance to the start of a task"
 )
 run_starts = _counter("mustardgap.run.starts", "{run}", "Starts of runs by outcome", "outcome")
@@ -239,7 +245,9 @@
 store_appends = _counter(
     "mustardgap.store.appends", "{append}", "Appends to owned shards by outcome", "outcome"
 )
-append_duration = _seconds("mustardgap.store.append_duration", "Time until an append is answered")
+append_duration = _duration_histogram(
+    "mustardgap.store.append_duration", "Time until an append is answered"
+)
 machine_orders = _counter(
     "mustardgap.machine.orders",
     "{order}",
--- a/mustardgap/observers.py
+++ b/mustardgap/observers.py
@@ -9,7 +9,7 @@
 from .supervisors import Supervisor
 from .timers import Timers
 
-OUT_PHASES = ("draining", "drained", "rebooting", "failed", "set_aside")
+OUT_OF_SERVICE_PHASES = ("draining", "drained", "rebooting", "failed", "set_aside")
 
 
 def observe(
@@ -22,10 +22,10 @@
     metrics.observe("mustardgap.ready", lambda: int(readiness.ready))
     metrics.observe("mustardgap.peers.sent", lambda: peers.sent_bytes)
     metrics.observe("mustardgap.peers.received", lambda: peers.received_bytes)
-    metrics.observe("mustardgap.hosts.out", lambda: count_out(log.state))
-    metrics.observe("mustardgap.budget.breaches", lambda: count_breaches(log.state))
+    metrics.observe("mustardgap.hosts.out", lambda: count_hosts_out_of_service(log.state))
+    metrics.observe("mustardgap.budget.breaches", lambda: count_budget_breaches(log.state))
     members.on_change(_count_change)
-    timers.on_gap(lambda lost: metrics.gaps.add(1))
+    timers.on_gap(lambda lost: metrics.process_gaps.add(1))
 
 
 def observe_restarts(supervisor: Supervisor) -> None:
@@ -33,16 +33,16 @@
     metrics.observe("mustardgap.child.restarts", lambda: supervisor.restarts)
 
 
-def count_out(state: State) -> int:
+def count_hosts_out_of_service(state: State) -> int:
     """How many hosts of pools are out of service."""
     hosts = state.hosts_by_name.values()
-    return sum(host["pool"] != "" and host["phase"] in OUT_PHASES for host in hosts)
+    return sum(host["pool"] != "" and host["phase"] in OUT_OF_SERVICE_PHASES for host in hosts)
 
 
-def count_breaches(state: State) -> int:
+def count_budget_breaches(state: State) -> int:
     """How many services are below their availability budget now."""
     return sum(budgets.margin(state, service) < 0 for service in state.declared("service"))
 
 
-def _count_change(member: Member, before: Member | None) -> None:
+def _count_change(member: Member, previous: Member | None) -> None:
     metrics.member_changes.add(1, {"state": member.state.name})
--- a/mustardgap/timelines.py
+++ b/mustardgap/timelines.py
@@ -53,8 +53,8 @@
         wall = self.clock.wall()
         self._sequence += 1
         self._stamp = max((int(wall * 1000), 0), (self._stamp[0], self._stamp[1] + 1))
-        named = {key: str(value) for key, value in ids.items()}
-        event = Event(self.member, self._sequence, wall, self._stamp, kind, offset, cause, named)
+        text_ids = {key: str(value) for key, value in ids.items()}
+        event = Event(self.member, self._sequence, wall, self._stamp, kind, offset, cause, text_ids)
         self._events.append(event)
         return event
 
