--- a/features/steps/events_steps.py
+++ b/features/steps/events_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the structured lines' feature."""
+"""Steps for structured log lines."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 
 
 class _ManualClock(Clock):
-    """A clock that stands still unless it is moved."""
+    """A clock that only the test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -23,27 +23,27 @@
         return 1_700_000_000.0 + self.now
 
 
-@given("an event log into a pipe that nobody reads")
+@given("an event log that writes to a pipe that isn't read")
 def log_into_pipe(context):
     context.reader, writer = os.pipe()
     context.clock = _ManualClock()
     context.log = EventLog(host="e1", clock=context.clock, descriptor=writer)
 
 
-@given("an event log that keeps its lines")
+@given("an event log that stores its lines in memory")
 def log_in_memory(context):
     context.clock = _ManualClock()
     context.log = EventLog(host="e1", clock=context.clock)
 
 
-@when("{count:d} lines are noted")
+@when("{count:d} lines are logged")
 def log_lines(context, count):
     for number in range(count):
         context.clock.now += 0.01
         context.log.note("run.start", vital=True, job=f"{number:016x}", why="x" * 250)
 
 
-@when("{count:d} {kind} lines are noted within a second")
+@when("{count:d} {kind} lines are logged within a second")
 def log_lines_of_kind(context, count, kind):
     for number in range(count):
         context.clock.now += 1 / count
@@ -56,7 +56,7 @@
     assert context.left_out > 0
 
 
-@then("the next line that is read tells how many were left out")
+@then("the next line that is read has the number of lines left out")
 def check_left_out_reported(context):
     os.set_blocking(context.reader, False)
     for _ in range(200):
@@ -70,7 +70,7 @@
             if b'"after"' in line and b"left_out" in line:
                 assert json.loads(line)["left_out"] >= context.left_out
                 return
-    raise AssertionError("no line told of those that were left out")
+    raise AssertionError("no line has the number of lines left out")
 
 
 @then("between {least:d} and {most:d} lines were written")
@@ -112,15 +112,13 @@
 """
 
 
-@given("logs in which executors crashed under two tasks, and one of them answered again")
+@given("logs in which executors crashed under two tasks, and one executor answered later")
 def write_crash_logs(context):
     context.logs = [context.folder / "e1.log"]
     context.logs[0].write_text(CRASH_LOG)
 
 
-@then(
-    "the page says of each task how many executors crashed under it, without the one that answered"
-)
+@then("the page has each task's number of crashed executors, without the one that answered")
 def check_page_crashes(context):
     text = context.page.read_text()
     rows = "<td>{}</td><td>{}</td><td>{}</td>"
@@ -134,13 +132,13 @@
     context.result = run_command("report", *options, "--out", str(context.page))
 
 
-@when("a page is drawn from the logs")
+@when("a page is rendered from the logs")
 def render(context):
     _render(context, context.logs)
     assert context.result.status == 0, context.result.stderr
 
 
-@when("a page is drawn from logs that {flaw}")
+@when("a page is rendered from logs that {flaw}")
 def render_flawed(context, flaw):
     path = context.folder / "flawed.log"
     if "hold" in flaw:
@@ -152,7 +150,7 @@
 def check_page_tables(context):
     text = context.page.read_text()
     cells = "<td>3</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td>"
-    # The first one's ownership ends with the last line that it wrote whole.
+    # The first owner's ownership ends with its last complete line.
     assert cells.format("e1", 7, "0.00", "2.00") in text, text[-2000:]
     assert cells.format("e2", 8, "3.00", "4.10") in text, text[-2000:]
     assert "wrote 8 lines and left 17 out" in text, text[:900]
@@ -167,7 +165,7 @@
         assert f"<!-- {label} -->" in text or f"<!--  {label} -->" in text, label
 
 
-@then("the report ends in {code}, which names {text}")
+@then("the report fails with {code} and names {text}")
 def check_report_fails(context, code, text):
     assert context.result.status != 0
     assert code in context.result.stderr and text in context.result.stderr, context.result.stderr
--- a/features/steps/metrics_steps.py
+++ b/features/steps/metrics_steps.py
@@ -15,7 +15,7 @@
 
 
 def read_values(tally):
-    """What a scrape reads, by attributes."""
+    """Return what a scrape reads, by attributes."""
     return {frozenset(o.attributes.items()): o.value for o in tally.read(None)}
 
 
--- a/mustardgap/events.py
+++ b/mustardgap/events.py
@@ -1,8 +1,8 @@
-"""Structured log lines on standard output: one JSON object a line, at a bounded rate.
+"""Structured log lines on standard output: one JSON object per line, at a bounded rate.
 
-A line tells of one decision: which request, job or executor it touches, the inputs that decided
-it, their age or version, and the outcome. Writing never blocks: a reader that stops reading costs
-lines, which are counted, and nothing else.
+Each line describes one decision: the request, job or executor concerned, the inputs of the
+decision, their age or version, and the outcome. Writing never blocks: if the reader stops reading,
+lines are dropped and counted.
 """
 
 import os
@@ -13,21 +13,21 @@
 from . import metrics
 from .timers import Clock
 
-# A daemon at 20 times the load of its usual site writes some 400 lines a second; twice the usual
-# rate of all decisions keeps the whole story of a calm day and bounds a storm to 60 KB/s.
+# A daemon at 20 times its site's usual load writes about 400 lines per second. Twice the usual rate
+# of all decisions keeps every line under normal load, and limits a flood to 60 KB/s.
 LINES_PER_S = 200.0
 BURST = 1000
 MAX_TEXT = 300
-# A reader that is late for this many bytes loses lines.
+# A line that would leave more bytes than this unwritten is dropped.
 MAX_UNWRITTEN_BYTES = 256 * 1024
 
 
 class EventLog:
-    """Writes events of one process.
+    """Writes the events of one process.
 
     :param host: this host's name.
     :param clock: the clocks to read.
-    :param descriptor: where lines go; None keeps them in ``captured`` for tests.
+    :param descriptor: the file descriptor to write to; None adds lines to ``captured``, for tests.
     """
 
     def __init__(
@@ -46,11 +46,11 @@
             os.set_blocking(descriptor, False)
 
     def note(self, event: str, *, vital: bool = False, **fields: Any) -> None:
-        """Write one line.
+        """Write one line, or count it as left out.
 
         :param event: what happened, as ``part.verb``.
-        :param vital: written beyond the usual rate too, for what explains a refusal or a failure.
-        :param fields: ids, inputs and outcome; long texts are cut.
+        :param vital: may use the reserved tokens; for lines that explain a refusal or a failure.
+        :param fields: ids, inputs and outcome; long texts are truncated.
         """
         if not self._take_token(vital):
             self.left_out += 1
@@ -71,7 +71,7 @@
         now = self.clock.monotonic()
         self._tokens = min(BURST, self._tokens + (now - self._refilled_at) * LINES_PER_S)
         self._refilled_at = now
-        # Vital lines may use up a reserve that the others leave, and are bounded by it too.
+        # A quarter of the burst is reserved for vital lines, whose rate is bounded as well.
         if self._tokens < (1 if vital else BURST / 4):
             return False
         self._tokens -= 1
@@ -89,7 +89,7 @@
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone for good; the process goes on without lines, and counts them.
+            # The reader is gone; the process continues, and counts each failed write as lost.
             self._unwritten = b""
             metrics.log_lines.add(1, {"result": "lost"})
             return
--- a/mustardgap/metrics.py
+++ b/mustardgap/metrics.py
@@ -1,4 +1,4 @@
-"""All OpenTelemetry instruments of mustardgap, and their text for a scrape."""
+"""All OpenTelemetry instruments of mustardgap, and their export in the Prometheus format."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class Spec(NamedTuple):
-    """What the documentation says of one instrument."""
+    """Describes one instrument, for the documentation."""
 
     name: str
     kind: str
@@ -31,10 +31,10 @@
 _callbacks_by_name: dict[str, Callable[[], float]] = {}
 _OBSERVED_KINDS = ("gauge", "observed counter")
 
-# The registry is our own: the default one adds collectors of the process that we don't document.
+# The default registry isn't used: it adds process collectors that aren't documented here.
 _registry = CollectorRegistry(auto_describe=False)
 _reader = PrometheusMetricReader(scope_info_enabled=False, registry=_registry)
-# Exemplars are off: they keep a reservoir for each attribute set, and nothing here reads them.
+# Exemplars are off: they need a reservoir per attribute set, and nothing reads them.
 _provider = MeterProvider(
     metric_readers=[_reader],
     resource=Resource({"service.name": "mustardgap", "service.version": __version__}),
@@ -47,8 +47,8 @@
 class Tally:
     """Counts in a plain dictionary, which OpenTelemetry reads at a scrape.
 
-    An instrument of the SDK that is added to at once checks and sorts its attributes each time;
-    with nine of them on the way of a request that is a good part of the request's processor time.
+    A synchronous instrument of the SDK checks and sorts its attributes on each call; with nine
+    instruments per request, this takes a considerable share of the request's processor time.
 
     :param name: the instrument's name.
     """
@@ -58,22 +58,22 @@
         self._counts_by_attributes: dict[tuple[tuple[str, str | int], ...], float] = {}
 
     def add(self, amount: float, attributes: Mapping[str, str | int] | None = None) -> None:
-        """Add an amount under some attributes."""
+        """Add an amount to the count of a set of attributes."""
         key = tuple(sorted(attributes.items())) if attributes else ()
         counts = self._counts_by_attributes
         if key not in counts and len(counts) >= MAX_SERIES:
-            # Attributes that come from outside mustn't be able to fill the memory.
+            # Attributes from outside mustn't use unbounded memory.
             key = OVERFLOW_ATTRIBUTES
         counts[key] = counts.get(key, 0) + amount
 
     def read(self, _: CallbackOptions) -> list[Observation]:
-        """What has been counted so far."""
+        """Return the counts by attributes."""
         counts = self._counts_by_attributes
         return [Observation(count, dict(key)) for key, count in counts.items()]
 
 
 def render() -> bytes:
-    """All instruments as text in the Prometheus format."""
+    """Return all instruments as text in the Prometheus format."""
     return generate_latest(_registry)
 
 
@@ -82,7 +82,7 @@
 
     :param name: the name of one of this module's instruments.
     :param callback: a function that returns the value.
-    :raises KeyError: there is no such instrument.
+    :raises KeyError: there is no such gauge or observed counter.
     """
     if specs_by_name[name].kind not in _OBSERVED_KINDS:
         raise KeyError(name)
@@ -91,7 +91,7 @@
 
 def _define(kind: str, name: str, unit: str, description: str, attributes: tuple[str, ...]) -> None:
     if name in specs_by_name:
-        raise ValueError(f"{name} is defined already")
+        raise ValueError(f"{name} is already defined")
     specs_by_name[name] = Spec(name, kind, unit, description, attributes)
 
 
--- a/mustardgap/observers.py
+++ b/mustardgap/observers.py
@@ -1,4 +1,4 @@
-"""Joins the metrics that are read at a scrape to the parts they are read from."""
+"""Connects the metrics that are read at a scrape to the parts of the daemon."""
 
 from . import budgets, metrics
 from .members import Member, Members
@@ -15,7 +15,7 @@
 def observe(
     *, log: Log, members: Members, peers: Peers, readiness: Readiness, timers: Timers
 ) -> None:
-    """Let the metrics read these parts of the daemon."""
+    """Register callbacks that read metrics from these parts of the daemon."""
     metrics.observe("mustardgap.log.offset", lambda: log.offset)
     metrics.observe("mustardgap.log.age", log.fresh_s)
     metrics.observe("mustardgap.members.live", lambda: len(members.live()))
@@ -29,18 +29,18 @@
 
 
 def observe_restarts(supervisor: Supervisor) -> None:
-    """Let the metrics read how often the supervisor restarted a part."""
+    """Register a callback that reads how often the supervisor restarted a part."""
     metrics.observe("mustardgap.child.restarts", lambda: supervisor.restarts)
 
 
 def count_hosts_out_of_service(state: State) -> int:
-    """How many hosts of pools are out of service."""
+    """Return how many hosts of pools are out of service."""
     hosts = state.hosts_by_name.values()
     return sum(host["pool"] != "" and host["phase"] in OUT_OF_SERVICE_PHASES for host in hosts)
 
 
 def count_budget_breaches(state: State) -> int:
-    """How many services are below their availability budget now."""
+    """Return how many services are below their availability budget."""
     return sum(budgets.margin(state, service) < 0 for service in state.declared("service"))
 
 
--- a/mustardgap/timelines.py
+++ b/mustardgap/timelines.py
@@ -1,4 +1,4 @@
-"""A bounded ring of events and the merge of many rings into one causal order."""
+"""A bounded ring buffer of events, and the merge of many buffers in causal order."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -12,8 +12,8 @@
 class Event(NamedTuple):
     """One event of one daemon.
 
-    ``stamp`` is a hybrid logical time (milliseconds, counter): it is never smaller than the stamp
-    of anything the daemon had heard of before. ``offset`` is the log offset it follows from, or -1.
+    ``stamp`` is a hybrid logical time (milliseconds, counter), never less than the latest stamp
+    that the daemon had witnessed. ``offset`` is the log offset it follows from, or -1.
     """
 
     member: str
@@ -27,10 +27,10 @@
 
 
 class Timeline:
-    """Keeps the latest events of one daemon.
+    """Stores the latest events of one daemon.
 
     :param member: the daemon's host name.
-    :param size: how many events are kept.
+    :param size: the maximum number of events.
     :param clock: the clocks to read.
     """
 
@@ -42,7 +42,7 @@
         self._stamp = (0, 0)
 
     def add(self, kind: str, *, offset: int = -1, cause: str = "", **ids: Any) -> Event:
-        """Note an event.
+        """Add an event.
 
         :param kind: a short dotted kind, such as ``host.draining``.
         :param offset: the log offset it follows from, -1 for none.
@@ -60,35 +60,35 @@
 
     @property
     def stamp(self) -> tuple[int, int]:
-        """The hybrid logical time to send along with messages to peers."""
+        """The hybrid logical time to send with messages to peers."""
         return self._stamp
 
     def witness(self, stamp: tuple[int, int]) -> None:
-        """Take in a peer's stamp, so that what follows is ordered after it.
+        """Advance the logical time to a peer's stamp, so that later events are ordered after it.
 
-        A stamp that is far ahead comes from a broken clock; taken in, it would put all later events
-        of all daemons there, in the order they happened but useless to read.
+        A stamp more than ``MAX_AHEAD_S`` ahead comes from a wrong clock and is ignored. Otherwise,
+        all later events of all daemons would be stamped as far ahead: in order, but unreadable.
         """
         if stamp[0] <= (self.clock.wall() + MAX_AHEAD_S) * 1000:
             self._stamp = max(self._stamp, (int(stamp[0]), int(stamp[1])))
 
     def send_time(self) -> float:
-        """The time to write on a record: later than all that this daemon knows of.
+        """Return the time for a new record, later than any stamp that this daemon witnessed.
 
-        :return: seconds since the epoch, whole milliseconds.
+        :return: seconds since the epoch, rounded to milliseconds.
         """
         self._stamp = max((int(self.clock.wall() * 1000), 0), (self._stamp[0] + 1, 0))
         return self._stamp[0] / 1000
 
     def witness_time(self, time: float) -> None:
-        """Take in the time of a record, so that what follows here is ordered after it."""
+        """Advance the logical time to a record's, so that later events are ordered after it."""
         self.witness((round(time * 1000), 0))
 
     def events(self, *, since: float = 0.0, **ids: str) -> list[Event]:
         """List events, the oldest first.
 
         :param since: seconds since the epoch; older events are left out.
-        :param ids: ids that must match, such as ``host="w1"``.
+        :param ids: ids that must match, such as ``host="w1"``; empty ones are ignored.
         """
         return [
             event
@@ -99,10 +99,10 @@
 
 
 def merge(rings: Iterable[Iterable[Event]]) -> list[Event]:
-    """Merge the rings of many daemons into one order that respects cause and effect.
+    """Merge the events of many daemons in causal order.
 
     :param rings: the events of each daemon.
-    :return: all events by hybrid logical time; daemons' own orders are kept.
+    :return: all events by hybrid logical time; the order within each daemon is preserved.
     """
     events = [event for ring in rings for event in ring]
     return sorted(events, key=lambda e: (e.stamp, e.member, e.sequence))
