--- a/mustardgap/events.py
+++ b/mustardgap/events.py
@@ -1,8 +1,8 @@
-"""Structured log lines on standard output: one JSON object a line, at a bounded rate.
+"""Structured log lines on standard output: one JSON object per line, at a bounded rate.
 
-A line tells of one decision: which request, job or executor it touches, the inputs that decided
-it, their age or version, and the outcome. Writing never blocks: a reader that stops reading costs
-lines, which are counted, and nothing else.
+Each line describes one decision: the request, job or executor concerned, the inputs of the
+decision, their age or version, and the outcome. Writing never blocks: if the reader stops reading,
+lines are dropped and counted.
 """
 
 import os
@@ -13,21 +13,21 @@
 from . import metrics
 from .timers import Clock
 
-# A daemon at 20 times the load of its usual site writes some 400 lines a second; twice the usual
-# rate of all decisions keeps the whole story of a calm day and bounds a storm to 60 KB/s.
+# A daemon at 20 times its site's usual load writes about 400 lines per second. Twice the usual rate
+# of all decisions keeps every line under normal load, and limits a flood to 60 KB/s.
 LINES_PER_S = 200.0
 BURST = 1000
 MAX_TEXT = 300
-# A reader that is late for this many bytes loses lines.
-MAX_WAITING_BYTES = 256 * 1024
+# A line that would leave more bytes than this unwritten is dropped.
+MAX_UNWRITTEN_BYTES = 256 * 1024
 
 
 class EventLog:
-    """Writes events of one process.
+    """Writes the events of one process.
 
     :param host: this host's name.
     :param clock: the clocks to read.
-    :param descriptor: where lines go; None keeps them in ``kept`` for tests.
+    :param descriptor: the file descriptor to write to; None adds lines to ``captured``, for tests.
     """
 
     def __init__(
@@ -35,43 +35,43 @@
     ) -> None:
         self.host = host
         self.clock = clock or Clock()
-        self.kept: list[dict[str, Any]] = []
+        self.captured: list[dict[str, Any]] = []
         self.left_out = 0
         self._descriptor = descriptor
         self._tokens = float(BURST)
-        self._at = self.clock.monotonic()
-        self._waiting = b""
+        self._refilled_at = self.clock.monotonic()
+        self._unwritten = b""
         self._encoder = msgspec.json.Encoder(enc_hook=str)
         if descriptor is not None:
             os.set_blocking(descriptor, False)
 
     def note(self, event: str, *, vital: bool = False, **fields: Any) -> None:
-        """Write one line.
+        """Write one line, or count it as left out.
 
         :param event: what happened, as ``part.verb``.
-        :param vital: written beyond the usual rate too, for what explains a refusal or a failure.
-        :param fields: ids, inputs and outcome; long texts are cut.
+        :param vital: may use the reserved tokens; for lines that explain a refusal or a failure.
+        :param fields: ids, inputs and outcome; long texts are truncated.
         """
-        if not self._allowed(vital):
+        if not self._take_token(vital):
             self.left_out += 1
             metrics.log_lines.add(1, {"result": "suppressed"})
             return
         row = {"time": round(self.clock.wall(), 4), "host": self.host, "event": event}
-        row.update((key, _short(value)) for key, value in fields.items() if value is not None)
+        row.update((key, _shorten(value)) for key, value in fields.items() if value is not None)
         if self.left_out:
             row["left_out"] = self.left_out
             self.left_out = 0
         metrics.log_lines.add(1, {"result": "written"})
         if self._descriptor is None:
-            self.kept.append(row)
+            self.captured.append(row)
             return
         self._write(self._encoder.encode(row) + b"\n")
 
-    def _allowed(self, vital: bool) -> bool:
+    def _take_token(self, vital: bool) -> bool:
         now = self.clock.monotonic()
-        self._tokens = min(BURST, self._tokens + (now - self._at) * LINES_PER_S)
-        self._at = now
-        # Vital lines may use up a reserve that the others leave, and are bounded by it too.
+        self._tokens = min(BURST, self._tokens + (now - self._refilled_at) * LINES_PER_S)
+        self._refilled_at = now
+        # A quarter of the burst is reserved for vital lines, whose rate is bounded as well.
         if self._tokens < (1 if vital else BURST / 4):
             return False
         self._tokens -= 1
@@ -79,24 +79,24 @@
 
     def _write(self, line: bytes) -> None:
         assert self._descriptor is not None
-        if len(self._waiting) + len(line) > MAX_WAITING_BYTES:
+        if len(self._unwritten) + len(line) > MAX_UNWRITTEN_BYTES:
             self.left_out += 1
             metrics.log_lines.add(1, {"result": "suppressed"})
             return
-        self._waiting += line
+        self._unwritten += line
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone for good; the process goes on without lines, and counts them.
-            self._waiting = b""
+            # The reader is gone; the process continues, and counts each failed write as lost.
+            self._unwritten = b""
             metrics.log_lines.add(1, {"result": "lost"})
             return
-        self._waiting = self._waiting[written:]
+        self._unwritten = self._unwritten[written:]
 
 
-def _short(value: Any) -> Any:
+def _shorten(value: Any) -> Any:
     if isinstance(value, str):
         return value[:MAX_TEXT]
     if isinstance(value, float):
