--- a/mustardgap/actors.py
+++ b/mustardgap/actors.py
@@ -127,17 +127,17 @@
         if self._tasks_by_key:
             await asyncio.wait(list(self._tasks_by_key.values()), timeout=ACTION_TIMEOUT_S)
 
-    def look_at_all(self) -> None:
+    def recheck_all(self) -> None:
         """Queue everything for a new decision."""
-        self.hosts.look_at_all()
-        self.registrar.look_at_all()
-        self.jobs.look_at_all()
+        self.hosts.recheck_all()
+        self.registrar.recheck_all()
+        self.jobs.recheck_all()
 
     def _restart(self) -> None:
         """Rebuild everything from a restored state."""
         self.placer.restart()
         self.jobs.restart()
-        self.look_at_all()
+        self.recheck_all()
 
     def _begin_due(self, key: str, part: Any) -> None:
         if key in self._tasks_by_key:
@@ -184,7 +184,7 @@
             task.cancel()
         self._tasks_by_key.clear()
         self.duties.clear()
-        self.look_at_all()
+        self.recheck_all()
 
     def _on_record(self, record: LogRecord, verdict: Verdict) -> None:
         if not isinstance(verdict, Accepted):
@@ -195,18 +195,18 @@
         elif kind == "job":
             self.placer.follow_jobs({body["job"]})
             self.jobs.follow({body["job"]})
-            self.jobs.look_at({body["job"]})
+            self.jobs.recheck({body["job"]})
         elif kind == "config":
             self.placer.follow_hosts(set(self.log.state.hosts_by_name))
 
     def _on_tasks_changed(self, tasks: list[TaskInfo]) -> None:
         self.jobs.follow_tasks(tasks)
-        self.jobs.look_at({task["job"] for task in tasks})
+        self.jobs.recheck({task["job"] for task in tasks})
         for task in tasks:
             self.placer.learn(task)
 
     def _on_hosts_changed(self, hosts: set[str]) -> None:
-        self.hosts.look_at(hosts)
-        self.registrar.look_at(hosts)
+        self.hosts.recheck(hosts)
+        self.registrar.recheck(hosts)
         self.placer.follow_hosts(hosts)
-        self.jobs.look_at_hosts(hosts)
+        self.jobs.recheck_jobs_on(hosts)
--- a/mustardgap/host_actors.py
+++ b/mustardgap/host_actors.py
@@ -123,7 +123,7 @@
         self.operations = operations
         self.members = members
         self.duties = duties
-        self._look_at: set[str] = set()
+        self._hosts_to_check: set[str] = set()
         self._hosts_in_transition: set[str] = set()
         self._first_seen_by_host: dict[str, tuple[int, int, float]] = {}
         self._reported_epochs: dict[str, int] = {}
@@ -133,21 +133,21 @@
         """The state stream."""
         return self.operations.log
 
-    def look_at(self, hosts: set[str]) -> None:
+    def recheck(self, hosts: set[str]) -> None:
         """Queue hosts for a new decision after a change.
 
         :param hosts: the names of the hosts.
         """
-        self._look_at |= hosts
+        self._hosts_to_check |= hosts
 
-    def look_at_all(self) -> None:
+    def recheck_all(self) -> None:
         """Queue all hosts for a new decision."""
-        self._look_at |= self.log.state.hosts_by_name.keys()
+        self._hosts_to_check |= self.log.state.hosts_by_name.keys()
 
     def due(self) -> list[tuple[str, HostStep]]:
         """Return the steps that this daemon should take now, with the names of their hosts."""
         due_steps = []
-        for name in sorted(self._look_at | self._hosts_in_transition):
+        for name in sorted(self._hosts_to_check | self._hosts_in_transition):
             host = self.log.state.hosts_by_name.get(name)
             if host is None:
                 self._drop_step(name)
@@ -156,7 +156,7 @@
             if step is None:
                 self._drop_step(name)
             else:
-                self._look_at.add(name)
+                self._hosts_to_check.add(name)
                 if self.duties.is_due(f"host/{name}", (host["epoch"], step)):
                     due_steps.append((name, step))
             self._note_phase(host)
@@ -262,7 +262,7 @@
             self._reported_epochs.pop(name, None)
 
     def _drop_step(self, name: str) -> None:
-        self._look_at.discard(name)
+        self._hosts_to_check.discard(name)
         self.duties.drop(f"host/{name}")
 
     def _phase_limit_s(self, host: HostState) -> float:
--- a/mustardgap/job_actors.py
+++ b/mustardgap/job_actors.py
@@ -79,16 +79,16 @@
             if attempt is not None and attempt["number"] == task["attempt"]:
                 self.leases.update(task["job"], _lease_until(task))
 
-    def look_at(self, jobs: set[str]) -> None:
+    def recheck(self, jobs: set[str]) -> None:
         """Queue jobs for a new decision after a change."""
         self._jobs_to_check |= jobs
 
-    def look_at_hosts(self, hosts: set[str]) -> None:
+    def recheck_jobs_on(self, hosts: set[str]) -> None:
         """Queue all jobs on these hosts for a new decision."""
         for host in hosts:
             self._jobs_to_check |= self.placer.rooms.jobs_on(host)
 
-    def look_at_all(self) -> None:
+    def recheck_all(self) -> None:
         """Queue all jobs that hold resources for a new decision."""
         self._jobs_to_check |= self.placer.rooms.jobs()
 
--- a/mustardgap/registrars.py
+++ b/mustardgap/registrars.py
@@ -38,7 +38,7 @@
         self._down_since: dict[str, float] = {}
         self._not_before: dict[str, float] = {}
 
-    def look_at(self, workers: set[str]) -> None:
+    def recheck(self, workers: set[str]) -> None:
         """Update these workers after they or their hosts on the log have changed."""
         now = self.operations.timers.clock.monotonic()
         for name in workers:
@@ -53,10 +53,10 @@
             else:
                 self._down_since.pop(name, None)
 
-    def look_at_all(self) -> None:
+    def recheck_all(self) -> None:
         """Update all workers and hosts."""
         known = self.operations.log.state.hosts_by_name.keys()
-        self.look_at(known | self.operations.workers.by_id.keys())
+        self.recheck(known | self.operations.workers.by_id.keys())
 
     def due(self) -> list[HostBody]:
         """Return the records that this daemon should write now; a failed rack is one batch."""
@@ -89,7 +89,7 @@
                 self._not_before[body["host"]] = now + RETRY_DELAY_S
             else:
                 self._not_before.pop(body["host"], None)
-        self.look_at({body["host"] for body in bodies})
+        self.recheck({body["host"] for body in bodies})
 
     def _may_register(self, name: str, now: float) -> bool:
         # Before the first pool is declared only spare workers could be registered. The budgets of
--- a/tools/bench_jobs.py
+++ b/tools/bench_jobs.py
@@ -227,7 +227,7 @@
             world.clock.now += 0.5
             began = time.process_time()
             if naive:
-                daemon.actors.look_at_all()
+                daemon.actors.recheck_all()
                 daemon.actors.placer.follow_hosts(set(world.journal.state.hosts_by_name))
             await daemon.turn()
             spent += time.process_time() - began
