--- a/tools/actor_worlds.py
+++ b/tools/actor_worlds.py
@@ -112,7 +112,7 @@
     def on_restore(self, callback):
         self.restore_callbacks.append(callback)
 
-    def fresh_s(self):
+    def seconds_since_confirmed(self):
         return self.journal.clock.now - self.read_at
 
     def check(self, kind, body):
