--- a/mustardgap/cancellations.py
+++ b/mustardgap/cancellations.py
@@ -16,7 +16,7 @@
     """Something that a task awaited was cancelled, but not the task itself."""
 
     def __init__(self, *, what: str) -> None:
-        super().__init__(f"{what} ended by the cancellation of something that it awaited")
+        super().__init__(f"{what} ended by a cancellation that nobody asked for")
 
 
 def is_own() -> bool:
@@ -67,6 +67,6 @@
     """
     await asyncio.wait([task], timeout=timeout_s)
     if not task.done():
-        return f"still running after {timeout_s:.1f} s"
+        return f"it goes on after {timeout_s:.1f} s"
     failure = failure_of(task)
     return repr(failure) if failure is not None else ""
--- a/mustardgap/day_reports.py
+++ b/mustardgap/day_reports.py
@@ -283,7 +283,9 @@
 
 def _whys(window: Window) -> str:
     return ", ".join(
-        f"{count} {fate}" for fate, count in window.outcomes.most_common() if fate != IN_TIME
+        f"{count} {outcome}"
+        for outcome, count in window.outcomes.most_common()
+        if outcome != IN_TIME
     )
 
 
--- a/mustardgap/evacuations.py
+++ b/mustardgap/evacuations.py
@@ -31,13 +31,13 @@
     def __init__(self, *, dispatcher: "Dispatcher", stop_timeout_s: float) -> None:
         self.planned: frozenset[str] = frozenset()
         # Services with a lasting task that has to move and fits on no other executor.
-        self.cramped: set[str] = set()
+        self.unplaced_services: set[str] = set()
         self._dispatcher = dispatcher
         self._stop_effect_s = stop_timeout_s + STOP_SLACK_S
 
     def update(self, now: float) -> None:
         """Stop the runs that may be stopped now on executors being emptied."""
-        self.cramped.clear()
+        self.unplaced_services.clear()
         for link in list(self._dispatcher.roster.links_by_executor.values()):
             if not (link.closing or link.entry.draining) or not link.up:
                 continue
@@ -113,5 +113,5 @@
         links = [link for link in usable if now >= link.pause_until]
         if choose_executor(task, siblings, links, self.planned, now) is not None:
             return True
-        self.cramped.add(job.service)
+        self.unplaced_services.add(job.service)
         return False
--- a/mustardgap/executor_links.py
+++ b/mustardgap/executor_links.py
@@ -178,7 +178,7 @@
         self._executor_clock = ExecutorClock()
         self._inherited_lapse_at = inherited_lapse_at
         self._silent = False
-        self._patience = AdaptiveTimeout()
+        self._answer_timeout = AdaptiveTimeout()
         # Whether the last poll got no answer, so that it may still reach the executor.
         self._poll_unanswered = False
         self._acknowledged_number = 0
@@ -300,9 +300,9 @@
 
         :return: whether the executor now counts as silent: the poll had the longest timeout.
         """
-        is_silent = self._silent or self._patience.is_at_max
+        is_silent = self._silent or self._answer_timeout.is_at_max
         self._poll_unanswered = True
-        self._patience.note_unanswered()
+        self._answer_timeout.note_unanswered()
         return is_silent
 
     async def _poll(self) -> Report | Fenced | OtherIncarnation | Refused | NoAnswer:
@@ -320,12 +320,12 @@
             acknowledged=self._acknowledged_number,
             until_ms=until_ms,
             wait_s=wait_s,
-            patience_s=self._patience.seconds,
+            patience_s=self._answer_timeout.seconds,
         )
         if isinstance(outcome, Report):
             self._poll_unanswered = False
             # An answer that came early, because a run ended, counts as immediate.
-            self._patience.note_answered(max(self._clock.monotonic() - sent_at - wait_s, 0.0))
+            self._answer_timeout.note_answered(max(self._clock.monotonic() - sent_at - wait_s, 0.0))
             self._apply_report(outcome, sent_at)
             if has_backlog:
                 # The store isn't accepting records; the executor keeps the ends until it does.
@@ -548,7 +548,7 @@
                 self._notify_unusable(outcome)
                 return
             unanswered = unanswered or outcome.sent
-            self._patience.note_unanswered()
+            self._answer_timeout.note_unanswered()
             self._events.note(
                 "run.unanswered",
                 vital=True,
@@ -593,12 +593,12 @@
                 fence=self.fence,
                 checkpoint=task.checkpoint,
                 ticket=ticket,
-                patience_s=self._patience.with_orders_in_flight(self._orders_in_flight.count),
+                patience_s=self._answer_timeout.with_orders_in_flight(self._orders_in_flight.count),
             )
         finally:
             self._orders_in_flight.count -= 1
         if not isinstance(outcome, NoAnswer):
-            self._patience.note_answered(self._clock.monotonic() - sent_at)
+            self._answer_timeout.note_answered(self._clock.monotonic() - sent_at)
         elif not outcome.sent:
             run.sent = sent_before
         return outcome
--- a/mustardgap/executors.py
+++ b/mustardgap/executors.py
@@ -151,7 +151,7 @@
             return 0.0
         return self.timers.process_pause_s(self.clock.monotonic() - took_s)
 
-    def begin(self, executor: str, *, idempotent: bool) -> bool:
+    def allow_request(self, executor: str, *, idempotent: bool) -> bool:
         """Check whether a request that holds a slot of an executor may be sent to it.
 
         :param executor: the executor's id.
@@ -160,7 +160,7 @@
         """
         return self.outliers.allow_request(executor, idempotent=idempotent)
 
-    def skip(self, executor: str) -> None:
+    def release_probe(self, executor: str) -> None:
         """Note that a try was abandoned because its caller disconnected."""
         self.outliers.release_probe(executor)
 
@@ -237,12 +237,12 @@
         for executor, (service, view) in views.items():
             self._views_by_service.setdefault(service, {})[executor] = view
             if executor not in self.outliers.by_executor:
-                patient = TrackedExecutor(
+                tracked = TrackedExecutor(
                     executor=executor, service=service, worker=worker, rack=view.rack
                 )
                 # In the first listing all executors are new, so no others could take the share of
                 # the work that a slow start withholds from them.
-                self.outliers.add(patient, slowly=not self._is_first_listing)
+                self.outliers.add(tracked, slowly=not self._is_first_listing)
         if views:
             self._services_by_worker[worker] = [(s, e) for e, (s, _) in views.items()]
 
--- a/mustardgap/fleet_states.py
+++ b/mustardgap/fleet_states.py
@@ -155,8 +155,8 @@
     """Whether a machine that was ordered away is up in its pool, with a new executor."""
     # The list of machines lags: a row with the earlier executor is no proof that the machine is
     # back. The machines of a standby pool never have an executor.
-    another_life = machine.executor != away.executor or not away.executor
-    return machine.state == UP and machine.pool == away.pool and another_life
+    has_new_executor = machine.executor != away.executor or not away.executor
+    return machine.state == UP and machine.pool == away.pool and has_new_executor
 
 
 def executor_in(view: PoolView, executor: str) -> ExecutorView | None:
--- a/mustardgap/host_actors.py
+++ b/mustardgap/host_actors.py
@@ -177,8 +177,9 @@
         worker = self.operations.workers.by_id.get(host["host"])
         step = next_step(host, worker)
         if host["phase"] == "draining" and not self._folded_by_all(host):
-            # An entry host that hasn't folded the drain still sends requests to this host; they are
-            # refused and retried elsewhere. MAX_FOLD_WAIT_S bounds how long that can last.
+            # An entry host that hasn't folded the drain still sends requests to this host. If the
+            # host were drained now, they would be refused and have to be retried elsewhere. So the
+            # drain waits, but not longer than MAX_FOLD_WAIT_S.
             return None
         return self._overdue_step(host, worker) if step is None else step
 
--- a/mustardgap/placers.py
+++ b/mustardgap/placers.py
@@ -19,7 +19,7 @@
 from .status_codes import Code
 from .usages import Size, Usages, declared
 
-KEY = "placer"
+DUTY_KEY = "placer"
 # A job ends as one that never fits only after it has waited for this long: until the whole fleet
 # is known, a worker that fits may be missing.
 NEVER_FITS_AFTER_S = 10.0
@@ -146,7 +146,7 @@
 
     def due(self) -> list[Decision]:
         """The decisions that this daemon should write now, at most MAX_WRITES_PER_PASS."""
-        rank = self.duties.rank(KEY)
+        rank = self.duties.rank(DUTY_KEY)
         now = self.operations.timers.clock.monotonic()
         interval_s = IDLE_INTERVAL_S if rank == 0 and not self._is_changed else self._min_pause_s
         if rank is None or now - self._last_pass_at < (
@@ -158,10 +158,10 @@
         decisions = self.decide()
         self._min_pause_s = (time.perf_counter() - began) * PASS_PAUSE_FACTOR
         if not decisions:
-            self.duties.drop(KEY)
+            self.duties.drop(DUTY_KEY)
             return []
         key = tuple((type(d).__name__, *d[:2]) for d in decisions)
-        return decisions[:MAX_WRITES_PER_PASS] if self.duties.is_due(KEY, key) else []
+        return decisions[:MAX_WRITES_PER_PASS] if self.duties.is_due(DUTY_KEY, key) else []
 
     def decide(self) -> list[Decision]:
         """Decide on all waiting jobs and on faulty workers."""
@@ -192,11 +192,11 @@
 
     async def act(self, decisions: list[Decision]) -> None:
         """Write decisions concurrently."""
-        self.duties.note_attempt(KEY)
+        self.duties.note_attempt(DUTY_KEY)
         await asyncio.gather(*(self._write(decision) for decision in decisions))
         self._is_changed = True
         # These decisions have been written, accepted or not; the next pass begins a new step.
-        self.duties.drop(KEY)
+        self.duties.drop(DUTY_KEY)
 
     async def _write(self, decision: Decision) -> None:
         ticket = self.operations.issue_ticket()
@@ -296,14 +296,14 @@
             return EndJob(job["job"], status_codes.JOB_NEVER_FITS, why)
         if not job["attempts"]:
             return None
-        blamed = {worker for worker, f in self._failures.items() if f.is_at_fault}
-        tries = count_failed_attempts(job, state.hosts_by_name, blamed)
+        faulty_workers = {worker for worker, f in self._failures.items() if f.is_at_fault}
+        attempts = count_failed_attempts(job, state.hosts_by_name, faulty_workers)
         # All workers are checked only for a job that has failed often enough.
-        may_be_spent = tries.failed >= self.operations.settings.capacity.max_attempts
-        capacity_by_worker = self.rooms.capacity_by_worker if may_be_spent else {}
+        may_be_exhausted = attempts.failed >= self.operations.settings.capacity.max_attempts
+        capacity_by_worker = self.rooms.capacity_by_worker if may_be_exhausted else {}
         capable = [w for w, capacity in capacity_by_worker.items() if declared(spec).fits(capacity)]
-        if tries.is_exhausted(self.operations.settings.capacity.max_attempts, capable):
-            why = f"failed on {', '.join(sorted(tries.failed_on)) or 'workers that went down'}"
+        if attempts.is_exhausted(self.operations.settings.capacity.max_attempts, capable):
+            why = f"failed on {', '.join(sorted(attempts.failed_on)) or 'workers that went down'}"
             return EndJob(job["job"], status_codes.JOB_FAILED_EVERYWHERE, why)
         return None
 
--- a/mustardgap/pool_views.py
+++ b/mustardgap/pool_views.py
@@ -74,7 +74,7 @@
     :param wall: seconds since the epoch.
     """
     lasting = running = waiting = 0
-    lasting_unplaced = service in dispatcher.evacuations.cramped
+    lasting_unplaced = service in dispatcher.evacuations.unplaced_services
     for job in dispatcher.jobs_by_id.values():
         if job.service != service or job.phase:
             continue
--- a/mustardgap/sessions.py
+++ b/mustardgap/sessions.py
@@ -246,7 +246,7 @@
         """
         slot = await self._acquire_any(route)
         executor = slot.executor.executor
-        if self.shared.executors.begin(executor, idempotent=self._is_idempotent):
+        if self.shared.executors.allow_request(executor, idempotent=self._is_idempotent):
             return slot
         self.shared.slots.release(slot)
         return await self._acquire_any(route, executor)
@@ -271,7 +271,7 @@
                 patience=self._patience(),
             )
         except asyncio.CancelledError:
-            self.shared.executors.skip(executor.executor)
+            self.shared.executors.release_probe(executor.executor)
             raise
         took_s = self.shared.clock.monotonic() - started
         self.shared.executors.report(executor.executor, result, took_s)
--- a/mustardgap/waves.py
+++ b/mustardgap/waves.py
@@ -219,12 +219,12 @@
         return exchange(self._draft, group, partial(adds_margin, group))
 
     def _assign_stand_in(
-        self, group: Group, wanted: HostFilter, candidate_ids: Collection[str] | None = None
+        self, group: Group, is_useful: HostFilter, candidate_ids: Collection[str] | None = None
     ) -> bool:
         if candidate_ids is None:
             candidate_ids = [h for ids in self._fleet.free_ids_by_rack.values() for h in ids]
         hosts = [self._fleet.hosts_by_id[h] for h in candidate_ids if h not in self._draft.touched]
-        fitting = [host for host in hosts if wanted(host)]
+        fitting = [host for host in hosts if is_useful(host)]
         host = min(fitting, key=partial(crowding, group), default=None)
         if host is None:
             return False
@@ -232,9 +232,9 @@
         self._draft.assign(host, group.pool_for_next_host(), reason)
         return True
 
-    def _move_stand_in(self, group: Group, wanted: HostFilter) -> bool:
+    def _move_stand_in(self, group: Group, is_useful: HostFilter) -> bool:
         donor_names = self._fleet.surplus_group_names - self.held_names
-        host = find_donor_host(self._draft, group, wanted, self.held_names)
+        host = find_donor_host(self._draft, group, is_useful, self.held_names)
         if host is None:
             return any(
                 not self._draft.is_settled(self._fleet.groups_by_name[n]) for n in donor_names
