--- a/features/support/actor_machine.py
+++ b/features/support/actor_machine.py
@@ -98,7 +98,7 @@
             self.world.journal.write("host", {**body, "reason": "operator"})
 
     @rule(name=st.sampled_from(NAMES), fault=st.sampled_from(["paused", "failing", "stuck"]))
-    def trouble(self, name, fault):
+    def toggle_fault(self, name, fault):
         """Start or end a fault of a worker."""
         getattr(self.world.platform, fault).symmetric_difference_update({name})
 
--- a/features/support/naive_folds.py
+++ b/features/support/naive_folds.py
@@ -309,7 +309,7 @@
 
 
 def survival_bounds(hosts, *, min_hosts, survive):
-    """The fewest hosts of which a loss leaves ``min_hosts``, and the most that a loss can leave.
+    """The fewest hosts that keep ``min_hosts`` after a loss, and the most that any choice keeps.
 
     Tries every number of hosts in every domain.
     """
--- a/mustardgap/actors.py
+++ b/mustardgap/actors.py
@@ -109,7 +109,7 @@
             self._call_logged(kind, partial(self._begin_each, kind, actor))
 
     def leaving_workers(self, workers: Collection[str]) -> None:
-        """Update which workers the platform lists as leaving on short notice."""
+        """Have workers that the platform lists as leaving on short notice replaced and emptied."""
         self.planner.leaving_workers(workers)
 
     @property
--- a/mustardgap/config_rules.py
+++ b/mustardgap/config_rules.py
@@ -1,4 +1,4 @@
-"""Validates and applies sets of changes, all or none; each change names its own version."""
+"""Validates and applies sets of changes, all or none; each change names its base version."""
 
 from typing import Any
 
--- a/mustardgap/ledgers.py
+++ b/mustardgap/ledgers.py
@@ -37,7 +37,7 @@
         self.missing = ask.count - coming
 
     def drop_handled_grants(self, number: int) -> None:
-        """Drop the grants that it has handled."""
+        """Drop the grants up to a number, which the member has handled."""
         while self.grants and self.grants[0].number <= number:
             self.grants.popleft()
 
@@ -89,7 +89,7 @@
         borrower.missing -= 1
         self.lent.add(slot_id)
 
-    def take_return(self, borrower: Borrower, message: Return) -> None:
+    def free_returned(self, borrower: Borrower, message: Return) -> None:
         """Free the slots that a member returns, by the number of the grant that lent them."""
         for number, masks in message.numbered.items():
             for slot_id in slot_ids_of(masks):
--- a/mustardgap/lenders.py
+++ b/mustardgap/lenders.py
@@ -142,7 +142,7 @@
         """Free slots that a member gives back."""
         borrower = self.ledger.borrowers_by_id.get(sender.id)
         if borrower is not None and borrower.session == message.session:
-            self.ledger.take_return(borrower, message)
+            self.ledger.free_returned(borrower, message)
             self.lend_and_recall()
 
     def lend_and_recall(self) -> None:
--- a/mustardgap/queues.py
+++ b/mustardgap/queues.py
@@ -1,4 +1,4 @@
-"""Waiting for a slot: bounded by time, most urgent first; refuses what would expire at once."""
+"""Waiting for a slot: bounded by time, most urgent first; refuses at once what would expire."""
 
 import asyncio
 import math
--- a/mustardgap/usages.py
+++ b/mustardgap/usages.py
@@ -44,7 +44,7 @@
 
 
 def kind_of(spec: JobSpec) -> Kind:
-    """The kind of a job."""
+    """The kind of a job, by its team and profile."""
     return Kind(spec["team"], spec.get("profile", ""))
 
 
