--- a/mustardgap/sessions.py
+++ b/mustardgap/sessions.py
@@ -268,7 +268,7 @@
                 deadline=self._deadline,
                 sink=self.sink,
                 on_sent=self._mark_sent,
-                patience=self._patience(),
+                patience=self._early_timeout(),
             )
         except asyncio.CancelledError:
             self.shared.executors.skip(executor.executor)
@@ -279,7 +279,7 @@
             self.shared.executors.mark_leaving(executor.executor)
         return result
 
-    def _patience(self) -> EarlyTimeout | None:
+    def _early_timeout(self) -> EarlyTimeout | None:
         if not self._is_idempotent or self.tries + 1 >= self.shared.settings.requests.max_tries:
             return None
         seconds = self.shared.settings.requests.silent_timeout_s
--- a/mustardgap/upstreams.py
+++ b/mustardgap/upstreams.py
@@ -125,7 +125,7 @@
         deadline: float,
         sink: Sink | None,
         on_sent: Callable[[], None] | None,
-        patience: EarlyTimeout | None,
+        early_timeout: EarlyTimeout | None,
     ) -> TryResult:
         # The process may have been frozen while it connected, so the deadline is checked again.
         # Nothing between this check and the first byte yields to the event loop.
@@ -147,8 +147,10 @@
         )
         loop = asyncio.get_running_loop()
         timers = [loop.call_later(remaining_s, answer.time_out)]
-        if patience is not None:
-            timers.append(loop.call_later(patience.seconds, answer.time_out_early, patience))
+        if early_timeout is not None:
+            timers.append(
+                loop.call_later(early_timeout.seconds, answer.time_out_early, early_timeout)
+            )
         try:
             # Closing the stream ends a wait for the executor, but not a wait for a caller that
             # stopped reading its answer; this timeout ends the latter.
