--- a/features/steps/slots_steps.py
+++ b/features/steps/slots_steps.py
@@ -49,7 +49,7 @@
 
 @then("slots in use never exceeded 8 at any executor")
 def check_limit(context):
-    # Each start of a request asserted it; here only that there was something to assert on.
+    # The machine asserts the limit at each start; this checks that there were enough starts.
     assert context.granted > 100, context.granted
 
 
@@ -101,7 +101,7 @@
 
 
 async def offer_load(context, loads, max_wait_s, seconds=6.0):
-    """Offer requests of several services at shares of their capacity, urgency 1 or 8."""
+    """Send requests of several services at multiples of their capacity, urgency 1 or 8."""
     loop = asyncio.get_running_loop()
     executors = FakeExecutors(services=2, executors=2)
     network = FakeNetwork(delay_s=lambda: 0.0005)
--- a/mustardgap/brokers.py
+++ b/mustardgap/brokers.py
@@ -1,7 +1,7 @@
-"""Lending between owners: own slots are used at once, others' are borrowed while requests wait.
+"""Lends slots between owners: own slots are used at once, others' are borrowed while requests wait.
 
-Who owns a slot is a pure function of the folded state (``ownership.py``). docs/DESIGN-peers.md
-tells why the sum over all entry hosts stays within an executor's slots.
+The owner of a slot is a pure function of the folded state (``ownership.py``). docs/DESIGN-peers.md
+explains why all entry hosts together stay within an executor's slots.
 """
 
 import asyncio
@@ -39,27 +39,27 @@
 
 
 class HasPeers(Protocol):
-    """The streams to the peers."""
+    """Exchanges messages with peers."""
 
     def send(self, member_id: str, message: AnyMessage) -> bool:
         """Queue a message to a member."""
 
     def handle(self, type_: type, handler: Callable[[Member, Any], Any]) -> None:
-        """Have messages of a type handled."""
+        """Register the handler for messages of a type."""
 
 
 class Broker:
-    """The lending way of sharing slots.
+    """Shares slots by lending them to other entry hosts and borrowing from them.
 
-    :param slots: whose requests are served.
-    :param members: the members that share.
-    :param peers: the streams to them.
+    :param slots: the ``Slots`` whose requests are served.
+    :param members: the members that share the slots.
+    :param peers: sends messages to them and handles theirs.
     :param settings: the daemon's settings.
     :param timers: the timer service.
-    :param state: the folded state, which names the owners.
-    :param services: lists the services that there are.
-    :param max_hold_s: the longest a request of a service may hold a slot.
-    :param may_use: whether this daemon has known since a monotonic time which state is in force.
+    :param state: the folded state, which determines the owners.
+    :param services: returns the existing services.
+    :param max_hold_s: returns the most seconds that a request of a service may hold a slot.
+    :param may_use: returns whether the state is current by what was learned since a monotonic time.
     """
 
     def __init__(
@@ -106,10 +106,10 @@
         timers.on_gap(self._on_gap)
         self._register_handlers()
 
-    # What ``Slots`` calls.
+    # The sharing policy, called by ``Slots``.
 
     def take(self, service: str, exclude: frozenset[str], deadline: float) -> Slot | None:
-        """Take an own slot that is idle, or one that was lent here, while its lease lasts."""
+        """Take an idle slot that is owned here, or a borrowed one while its lease lasts."""
         now = self.clock.monotonic()
         if not self._may_start(now):
             return None
@@ -134,7 +134,7 @@
         return None
 
     def give_back(self, slot: Slot) -> None:
-        """Give a slot back; it goes to whoever is more urgent or has waited longer."""
+        """Give a slot back; the most urgent and longest waiting request may then get it."""
         if slot.use_number not in self._holdings_by_use:
             return
         holding = self._holdings_by_use.pop(slot.use_number)
@@ -149,19 +149,19 @@
         now = self.clock.monotonic()
         holding.loans_by_id[slot.id] = loan._replace(use_number=0, since=now)
         if now >= holding.leased_until:
-            # The owner may have taken it back by now; the next renewal tells it so.
+            # The owner may have taken it back already; the next renewal reports it as not held.
             del holding.loans_by_id[slot.id]
         elif slot.id in holding.return_when_free or self._is_recalled(holding, now):
             self._return_slots(holding, [slot.id])
 
     def demand_changed(self, service: str) -> None:
-        """Ask the owners for as many slots as requests wait, once a turn of the loop."""
+        """Ask the owners for as many slots as requests wait, once in each loop iteration."""
         if service not in self._services_to_ask:
             self._services_to_ask.add(service)
             asyncio.get_running_loop().call_soon(self._send_asks, service)
 
     def stalled(self, service: str) -> bool:
-        """Whether nothing could be used for so long that waiting is no use."""
+        """Return whether no slot has been usable for so long that waiting is useless."""
         now = self.clock.monotonic()
         if not self._may_start(now):
             return now > max(self._last_usable_at, self._started_at) + STALLED_AFTER_S
@@ -171,17 +171,17 @@
         return now > max([self._started_at, *heard]) + STALLED_AFTER_S
 
     def is_settled(self) -> bool:
-        """Whether this member has its share, or others who may lend it theirs."""
+        """Return whether this member has its own share, or other owners that may lend to it."""
         if not self._may_start(self.clock.monotonic()):
             return False
         if not self.ownership.is_joined():
             return bool(self.ownership.other_member_ids())
         return not self.ownership.unreported_hosts()
 
-    # The clockwork.
+    # Periodic work.
 
     async def run(self) -> None:
-        """Renew leases, settle what came into this host's hands, until cancelled."""
+        """Renew leases and settle newly owned slots, until cancelled."""
         self._started_at = self._last_usable_at = self.clock.monotonic()
         self._settle_and_serve()
         while True:
@@ -189,7 +189,7 @@
             await asyncio.sleep(self.lease_s / TICKS_PER_LEASE * random.uniform(0.9, 1.0))
 
     def tick(self) -> None:
-        """Renew every lease, return what has been idle too long, ask for what is pending."""
+        """Renew leases, return slots that were idle too long, and ask for missing ones."""
         now = self.clock.monotonic()
         self._may_start(now)
         self._last_tick_at = now
@@ -209,33 +209,33 @@
             self._settle(now)
 
     def folded(self) -> None:
-        """Take in what the log decided on the entry hosts."""
+        """Update the owners after a record was folded."""
         if self.ownership.refresh():
             self._settle_and_serve()
         self._answer_deferred_settles()
 
     def restored(self) -> None:
-        """Take in a state that was taken over whole."""
+        """Update the owners after the state was restored from a snapshot."""
         self.ownership.refresh(from_snapshot=True)
         self._settle_and_serve()
         self._answer_deferred_settles()
 
     def stop_lending(self) -> None:
-        """Lend no more and collect what is lent, before this entry host leaves."""
+        """Stop lending and recall lent slots, before this entry host leaves."""
         for lender in self.lenders_by_service.values():
             lender.is_lending = False
             lender.lend_and_recall()
 
     def stop_owning(self) -> None:
-        """Start nothing on own slots any more; the record that gives them up is on its way."""
+        """Stop using own slots, before the record that gives them up is written."""
         self.ownership.is_leaving = True
 
     def is_clear(self) -> bool:
-        """Whether this entry host uses, holds and lends nothing."""
+        """Return whether this entry host uses, borrows and lends no slots."""
         lent = any(lender.busy() for lender in self.lenders_by_service.values())
         return not lent and not any(h.loans_by_id for h in self.holdings.values())
 
-    # Owning.
+    # Ownership.
 
     def _settle_and_serve(self) -> None:
         self._settle(self.clock.monotonic())
@@ -243,7 +243,7 @@
             self.slots.serve(service)
 
     def _settle(self, now: float) -> None:
-        """Ask the other owners what they still use, while something is pending here."""
+        """Ask the other owners which slots they still use, while own slots are pending."""
         own = self.ownership
         if not own.is_joined():
             return
@@ -256,7 +256,7 @@
             self.peers.send(member_id, Settle(own.offset))
 
     def answer_settle(self, sender: Member, message: Settle) -> None:
-        """Tell an owner what is in use here, once this daemon has folded as far as it has."""
+        """Report the slots in use here, once this daemon has folded past the asker's offset."""
         if self.state.offset <= message.offset:
             self._deferred_settles.append((sender.id, message))
             return
@@ -267,7 +267,7 @@
         self.peers.send(sender.id, Settled(self.state.offset, masks_of(busy), age_ms))
 
     def apply_settled(self, sender: Member, message: Settled) -> None:
-        """Take in what another owner still uses or lends."""
+        """Apply another owner's report of the slots that it still uses or lends."""
         if sender.id not in self.ownership.other_member_ids():
             return
         self.ownership.apply_settled(sender.host, message)
@@ -284,19 +284,19 @@
                 self.answer_settle(m, message)
 
     def _may_start(self, now: float) -> bool:
-        """Whether this daemon knows that nobody has taken over its share.
+        """Return whether this daemon knows that no other host has taken over its share.
 
-        A process that was stopped finds its clocks far on when it wakes. What it knew before says
-        nothing; only word that came since does.
+        A clock more than a lease past the last tick shows that the process was paused. What it knew
+        before then is out of date; only what it has learned since counts.
         """
         if now - self._last_tick_at > self.lease_s:
             self._awake_since = self._last_tick_at = now
         return self.may_use(self._awake_since)
 
-    # Borrowing.
+    # The borrower's side.
 
     def apply_grant(self, sender: Member, message: Grant) -> None:
-        """Take in slots that were lent, unless they come too late."""
+        """Add lent slots, unless the grant comes too late."""
         holding = self._current_holding(sender, message)
         if holding is None or message.number <= holding.last_grant_number:
             return
@@ -310,11 +310,11 @@
             holding.asked_count = max(holding.asked_count - 1, 0)
         self.slots.serve(holding.service)
         if not self.slots.waiting(holding.service):
-            # Several owners may have lent at once what was asked of each.
+            # Each owner is asked for all missing slots, so several may lend them at once.
             self._return_slots(holding, [i for i in ids_of(message.slots) if i in holding.idle()])
 
     def apply_held(self, sender: Member, message: Held) -> None:
-        """Take in an owner's answer to a renewal."""
+        """Apply an owner's answer to a renewal."""
         holding = self._current_holding(sender, message)
         if holding is None:
             return
@@ -329,7 +329,7 @@
         self._return_slots(holding, [i for i in lost if not holding.loans_by_id[i].use_number])
 
     def apply_recall(self, sender: Member, message: Recall) -> None:
-        """Return what is idle, because others wait."""
+        """Return idle slots, because requests wait elsewhere."""
         holding = self._current_holding(sender, message)
         if holding is None:
             return
@@ -393,7 +393,7 @@
             self.peers.send(holding.owner, ask)
 
     def _owners(self, service: str) -> list[str]:
-        """The ids of the other owners of a service's slots that are in reach."""
+        """Return the member ids of other reachable owners of a service's slots."""
         own, by_id = self.ownership, self.members.by_id
         views = self.slots.executors.candidates(service)
         hosts = {own.owner(SlotId(v.executor, i)) for v in views for i in range(v.slots)}
@@ -401,7 +401,7 @@
         return [i for i in ids if i in by_id and by_id[i].state is MemberState.live]
 
     def _is_recalled(self, holding: Holding, now: float) -> bool:
-        """Whether a slot that was just freed is due to another member."""
+        """Return whether a slot that was just freed should go back to its owner."""
         if now >= holding.recall_valid_until:
             return False
         demand = self.slots.demand(holding.service)
@@ -410,7 +410,7 @@
         urgency, since = holding.recall_claim
         if urgency != demand.urgency:
             return urgency < demand.urgency
-        # A slot on its way to another entry host stands idle, so a small lead isn't worth a trip.
+        # A slot is idle while it moves to another host, so a small lead doesn't justify a move.
         return demand.waited_s + MIN_WAIT_LEAD_S < now - since
 
     def _return_slots(self, holding: Holding, slot_ids: list[SlotId]) -> None:
@@ -426,7 +426,7 @@
     # Helpers.
 
     def lender(self, service: str) -> Lender:
-        """The owner's side of a service."""
+        """Return the owner's side of a service."""
         lender = self.lenders_by_service.get(service)
         if lender is None:
             lender = self.lenders_by_service[service] = Lender(
@@ -503,14 +503,14 @@
             self._restart()
 
     def _on_gap(self, lost_s: float) -> None:
-        """Drop what lapsed while this process was paused, before anything else is done."""
+        """Drop loans that expired while this process was paused, before any other work."""
         now = self.clock.monotonic()
         self._may_start(now)
         for holding in self.holdings.values():
             self._prune_loans(holding, now)
 
     def _restart(self) -> None:
-        """Start anew under a new incarnation, which owns nothing yet and has borrowed nothing."""
+        """Reset for a new incarnation, which has no usable or borrowed slots yet."""
         self._started_at = self._last_usable_at = self.clock.monotonic()
         self.ownership.restart()
         self.holdings.clear()
--- a/mustardgap/budgets.py
+++ b/mustardgap/budgets.py
@@ -1,6 +1,7 @@
-"""Availability arithmetic: what a service has in service, and what may be taken away.
+"""Computes availability budgets: hosts in service, and how many may be drained.
 
-The fold and the planner both use it, so that a plan is never turned down by a different sum.
+The fold and the planner both use these functions, so that the fold rejects no plan because of a
+different calculation.
 """
 
 from collections import Counter
@@ -14,10 +15,10 @@
 
 
 class Shortage(NamedTuple):
-    """A budget that can't be met: which, and by how many hosts.
+    """A budget that can't be met, and by how many hosts.
 
-    ``limit`` is what stands against it. Service and limit name the same budget also when the
-    service has chosen another profile.
+    ``limit`` is what it exceeds. ``budget`` and ``limit`` still identify the same budget after the
+    service has changed its profile.
     """
 
     budget: str
@@ -28,7 +29,7 @@
 
     @property
     def short(self) -> int:
-        """How many hosts are missing."""
+        """Return how many hosts are missing."""
         return self.need - self.have
 
     def __str__(self) -> str:
@@ -37,14 +38,14 @@
 
 
 def in_service(state: State, service: str) -> list[HostState]:
-    """The hosts that serve a service now."""
+    """Return the hosts of a service that are in service."""
     return [host for host in state.hosts_of(service) if host["phase"] == "in_service"]
 
 
 def worst_loss(hosts: Iterable[HostState], survive: str) -> int:
-    """How many of the hosts go with the worst single failure domain.
+    """Return how many of the hosts are lost with the largest single failure domain.
 
-    :param hosts: the hosts counted on.
+    :param hosts: the hosts to count.
     :param survive: ``none``, ``host``, ``rack`` or ``data_center``.
     """
     if survive == "none":
@@ -56,12 +57,12 @@
 
 
 def margin(state: State, service: str, *, without: Collection[str] = frozenset()) -> int:
-    """How many hosts a service has beyond its availability budget; below 0 it is broken.
+    """Return how many hosts a service has beyond its availability budget; below 0 is a breach.
 
     :param state: the folded state.
     :param service: the service's name.
     :param without: names of hosts to leave out of the count.
-    :return: hosts in service, less the worst failure domain, less ``availability.min_hosts``.
+    :return: hosts in service, less the largest failure domain, less ``availability.min_hosts``.
     """
     profile = state.profile_of(service)
     if profile is None:
@@ -74,12 +75,12 @@
 def may_drain(
     state: State, host: HostState, *, without: Collection[str] = frozenset()
 ) -> Rejected | None:
-    """Whether a host may be taken out of service.
+    """Check whether a host may be taken out of service.
 
     :param state: the folded state.
-    :param host: the host; one that isn't in service may always go.
-    :param without: names of further hosts that go with it.
-    :return: None when it may, else MG3002 with the budget and by how much.
+    :param host: the host; one that isn't in service may always be drained.
+    :param without: names of further hosts that are drained with it.
+    :return: None if it may, else MG3002 with the budget and the shortfall.
     """
     pool = state.value("pool", host["pool"])
     if pool is None or host["phase"] != "in_service":
@@ -102,7 +103,7 @@
 
 
 def room_left(state: State, pool: str) -> int:
-    """How many more hosts may join a pool, by its own room and its service's."""
+    """Return how many more hosts may join a pool, by the host limits of pool and service."""
     value = state.value("pool", pool)
     if value is None:
         return 0
@@ -123,15 +124,15 @@
 
 
 def required_hosts(min_hosts: int, survive: str, sizes: Collection[int]) -> int | None:
-    """The fewest hosts that keep ``min_hosts`` with the worst failure domain lost.
+    """Return the fewest hosts that keep ``min_hosts`` if the largest failure domain is lost.
 
-    With at most ``c`` hosts in each domain the worst loss is ``c``, so ``min_hosts + c`` hosts are
-    needed and the domains must hold that many; the smallest such ``c`` is the answer.
+    With at most ``c`` hosts in each domain the largest loss is ``c``, so ``min_hosts + c`` hosts
+    are needed and the domains must hold that many. The result uses the smallest such ``c``.
 
-    :param min_hosts: hosts that must stay.
-    :param survive: the failure domain that may be lost.
-    :param sizes: how many healthy hosts there are in each such domain.
-    :return: the number of hosts, or None when the domains can't hold it.
+    :param min_hosts: hosts that must remain.
+    :param survive: the kind of failure domain that may be lost.
+    :param sizes: the number of healthy hosts in each such domain.
+    :return: the number of hosts, or None if the domains can't hold it.
     """
     if min_hosts == 0 or survive == "none":
         return min_hosts
@@ -144,11 +145,11 @@
 
 
 def shortages(state: State, values_by_key: Mapping[str, Any]) -> list[Shortage]:
-    """The budgets that the registered hosts could not meet under these declarations.
+    """Return the budgets that the registered hosts can't meet under these declarations.
 
-    Necessary conditions only: each service by itself against its room, its pools and the failure
-    domains, and all together against the number of healthy hosts. While no host is registered
-    there is nothing to compare with and only room and pools count.
+    Only necessary conditions are checked: each service alone against its room, its pools and the
+    failure domains, and all together against the number of healthy hosts. While no healthy host is
+    registered, only room and pools are checked.
 
     :param state: the folded state, for its hosts.
     :param values_by_key: all declarations, by ``kind/name``.
@@ -193,7 +194,7 @@
 
 
 class _RequiredHosts:
-    """The fewest hosts of each kind of budget, worked out once."""
+    """Caches the fewest hosts that each kind of budget requires."""
 
     def __init__(self, state: State) -> None:
         self._sizes = {name: list(c.values()) for name, c in state.healthy_by_domain.items()}
@@ -205,11 +206,11 @@
         if key not in self._required:
             self._required[key] = required_hosts(*key, self._sizes.get(key[1], []))
         required = self._required[key]
-        # Without an answer, as when no host is registered, one host more is the least it can be.
+        # If the domains can't hold it, as when no host is registered, one more is the minimum.
         return key[0] + 1 if required is None else required
 
     def compare_with_fleet(self, profile: Any) -> tuple[int, int]:
-        """The hosts that must stay with a domain lost, and the most that could."""
+        """Return the hosts that must remain if a domain is lost, and the most that could."""
         wanted, survive = profile["availability"]["min_hosts"], profile["availability"]["survive"]
         if survive == "none":
             return wanted, self._fleet
--- a/mustardgap/holdings.py
+++ b/mustardgap/holdings.py
@@ -1,4 +1,4 @@
-"""Lending, the borrower's side: what it holds of one service of one owner."""
+"""The borrower's side of lending: the slots of one service borrowed from one owner."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,10 @@
 
 
 class Loan(NamedTuple):
-    """A slot that was lent here; ``used`` is the use's number, 0 while idle since ``since``."""
+    """A borrowed slot and the number of its current use, 0 while it is idle.
+
+    ``since`` is when it became idle or its use began, ``until`` when its use must end.
+    """
 
     grant_number: int
     use_number: int
@@ -17,10 +20,10 @@
 
 
 class Holding:
-    """What this member holds of one service of one owner.
+    """The slots of one service that this member has borrowed from one owner.
 
     :param service: the service.
-    :param owner: the owner's id.
+    :param owner: the owner's member id.
     """
 
     def __init__(self, *, service: str, owner: str) -> None:
@@ -39,16 +42,16 @@
         self.recall_valid_until = 0.0
 
     def idle(self) -> list[SlotId]:
-        """The slots not in use, the latest idle first."""
+        """Return the idle slots, the most recently idle first."""
         idle = [(loan.since, i) for i, loan in self.loans_by_id.items() if not loan.use_number]
         return [slot_id for _, slot_id in sorted(idle, reverse=True)]
 
     def masks(self) -> Masks:
-        """The slots held, by executor."""
+        """Return the borrowed slots as bit masks by executor."""
         return masks_of(self.loans_by_id)
 
     def start_session(self) -> None:
-        """Begin anew with the owner, which has taken back all that was lent."""
+        """Start a new session with the owner, which has taken back all lent slots."""
         self.session += 1
         self.last_grant_number = self.asked_count = 0
         self.leased_until = 0.0
--- a/mustardgap/lenders.py
+++ b/mustardgap/lenders.py
@@ -1,4 +1,4 @@
-"""Lending, the owner's side: who has which of this entry host's own slots of one service."""
+"""The owner's side of lending: which members have which own slots of one service."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,24 +18,24 @@
 
 
 class Claim(NamedTuple):
-    """Whose turn is next: urgency, and the monotonic time since when it has waited."""
+    """A waiting request: its urgency, and the monotonic time since which it has waited."""
 
     urgency: int
     since: float
 
 
 class Lender:
-    """One service's own slots: what is idle, in use here, and lent.
+    """Manages the own slots of one service: idle, in use here, and lent.
 
     :param service: the service.
-    :param ownership: which slots are this entry host's.
+    :param ownership: determines which slots this entry host owns.
     :param clock: the clocks to read.
-    :param lease_s: how long a borrower may start requests after its last renewal.
-    :param stale_s: how long a host may act on what it last knew of the log.
-    :param hold_s: the longest a request holds a slot.
-    :param candidates: lists the executors that may be chosen.
-    :param demand: tells what waits here.
-    :param may_use: whether this entry host knows that the slots are still its own.
+    :param lease_s: seconds for which a borrower may start requests after its last renewal.
+    :param stale_s: seconds for which a host may act on its last knowledge of the log.
+    :param hold_s: returns the most seconds that a request holds a slot.
+    :param candidates: returns the executors that may be chosen.
+    :param demand: returns what waits here.
+    :param may_use: returns whether this entry host knows that the slots are still its own.
     :param send: queues a message to a member.
     """
 
@@ -71,11 +71,11 @@
         self._recall_scheduled = False
 
     def restart(self) -> None:
-        """Forget what was lent; as a new run this host owns nothing until it is surely over."""
+        """Forget all loans; a new run may use no slot until they must have ended."""
         self.ledger = Ledger(lapse_s=self.lease_s + self.hold_s())
 
     def idle(self) -> list[tuple[SlotId, ExecutorView]]:
-        """The own slots that nobody has, and their executors."""
+        """Return the usable own slots that are neither in use nor lent, and their executors."""
         wait_s = self.lease_s + self.stale_s + self.hold_s()
         found = []
         for view in self.candidates():
@@ -88,18 +88,18 @@
         return found
 
     def pending(self) -> list[SlotId]:
-        """The own slots that somebody else may still use, as far as is known here."""
+        """Return the own slots that another host may still be using."""
         wait_s = self.lease_s + self.stale_s + self.hold_s()
         own = self.ownership
         ids = (SlotId(v.executor, i) for v in self.candidates() for i in range(v.slots))
         return [i for i in ids if own.owner(i) == own.host and not own.may_use(i, wait_s)]
 
     def busy(self) -> set[SlotId]:
-        """The slots that this entry host uses as its own or has lent."""
+        """Return the slots that this entry host uses as its own or has lent."""
         return self.used | self.ledger.lent
 
     def apply_ask(self, sender: Member, message: Ask) -> None:
-        """Note how many slots a member lacks, and lend what is free."""
+        """Record how many slots a member lacks, and lend idle ones."""
         now = self.clock.monotonic()
         borrower = self.ledger.borrower(sender.id, message.session, now)
         if borrower is None:
@@ -112,7 +112,7 @@
         self.lend_and_recall()
 
     def apply_hold(self, sender: Member, message: Hold) -> None:
-        """Renew a member's lease and settle what it holds."""
+        """Renew a member's lease and free the slots that it no longer holds."""
         borrower = self.ledger.borrower(sender.id, message.session, self.clock.monotonic())
         if borrower is None:
             self._end_session(sender.id, message.session, message.sent)
@@ -144,7 +144,7 @@
             self.lend_and_recall()
 
     def lend_and_recall(self) -> None:
-        """Lend idle slots to those who lack them, if none here is before them; recall if short."""
+        """Lend idle slots except those due to own requests; recall lent ones if requests wait."""
         askers = self.ledger.askers()
         if not self.may_use():
             return
@@ -167,7 +167,7 @@
         self._recall_if_short()
 
     def first_claim(self) -> Claim | None:
-        """Who is most urgent or has waited longest, here or elsewhere, None when nobody waits."""
+        """Return the most urgent, longest waiting request here or elsewhere, None if none waits."""
         claims = [Claim(urgency, since) for urgency, since, _ in self.ledger.askers()]
         own = self.demand()
         if own.waiting:
@@ -175,7 +175,7 @@
         return min(claims, default=None)
 
     def tick(self) -> None:
-        """Take back what silent members held, lend and recall."""
+        """Free the slots of silent members, then lend and recall."""
         self.ledger.lapse_s = max(self.ledger.lapse_s, self.lease_s + self.hold_s())
         self.ledger.expire(self.clock.monotonic())
         self.lend_and_recall()
@@ -185,7 +185,7 @@
         return self.is_lending and own.is_joined() and slot_id in own.usable
 
     def _local_comes_first(self, own: Demand, claim: Claim) -> bool:
-        """Whether one who waits here comes before another; a small lead isn't worth a trip."""
+        """Return whether own demand comes first; a small lead doesn't justify moving a slot."""
         if own.urgency != claim.urgency:
             return own.urgency < claim.urgency
         return self.clock.monotonic() - own.waited_s <= claim.since + MIN_WAIT_LEAD_S
@@ -211,7 +211,7 @@
         self.send(member_id, grant)
 
     def _recall_if_short(self) -> None:
-        """Tell those who hold slots that others wait, again until none does."""
+        """Tell borrowers that others wait, repeatedly until none waits."""
         claim = self.first_claim()
         if not self.ledger.lent or (claim is None and self.is_lending):
             return
--- a/mustardgap/shares.py
+++ b/mustardgap/shares.py
@@ -1,4 +1,4 @@
-"""Two simple ways of sharing slots: fixed shares, and least in-flight by choice of two."""
+"""Two simple policies for sharing slots: fixed shares, and least in-flight by choice of two."""
 
 import random
 from collections import Counter
@@ -13,10 +13,10 @@
 
 
 class FixedShares:
-    """Each executor's slots are divided among the live members by rendezvous hashing.
+    """Divides each executor's slots among the live members by rendezvous hashing.
 
-    :param slots: whose requests are served.
-    :param members: the members that share.
+    :param slots: the ``Slots`` whose requests are served.
+    :param members: the members that share the slots.
     """
 
     def __init__(self, *, slots: Slots, members: Members) -> None:
@@ -25,7 +25,7 @@
         self._used: set[SlotId] = set()
 
     def take(self, service: str, exclude: frozenset[str], deadline: float) -> Slot | None:
-        """Take a free slot of this member's share, on the executor with the most left."""
+        """Take a free slot of this member's share, on the executor where it has most free slots."""
         views = [v for v in self.slots.executors.candidates(service) if v.executor not in exclude]
         random.shuffle(views)
         free = [(self._free_slots(view), view) for view in views]
@@ -40,10 +40,10 @@
         self._used.discard(slot.id)
 
     def demand_changed(self, service: str) -> None:
-        """Do nothing: a share doesn't depend on who waits."""
+        """Do nothing: a share doesn't depend on demand."""
 
     def stalled(self, service: str) -> bool:
-        """Never: a share needs nobody's word."""
+        """Return False: a share depends on no messages."""
         return False
 
     def _free_slots(self, view: ExecutorView) -> list[SlotId]:
@@ -56,12 +56,12 @@
 
 
 class LeastInFlight:
-    """Each member takes the less busy of two executors, by own and gossiped counts.
+    """Takes slots on the less busy of two executors, by own and gossiped counts.
 
-    The sum over all members can exceed the slots for as long as the counts are out of date.
+    All members together can exceed an executor's slots while counts are out of date.
 
-    :param slots: whose requests are served.
-    :param gossiper: carries the members' counts.
+    :param slots: the ``Slots`` whose requests are served.
+    :param gossiper: exchanges the members' counts.
     """
 
     def __init__(self, *, slots: Slots, gossiper: Gossiper) -> None:
@@ -75,7 +75,7 @@
         gossiper.members.on_change(self._on_member_change)
 
     def take(self, service: str, exclude: frozenset[str], deadline: float) -> Slot | None:
-        """Take a slot of the less busy of two executors that seem to have one free."""
+        """Take a slot of the less busy of two random executors that seem to have a free one."""
         free = [
             (self.in_flight(view.executor) / view.slots, view)
             for view in self.slots.executors.candidates(service)
@@ -94,14 +94,14 @@
         self._own_counts[slot.executor.executor] -= 1
 
     def demand_changed(self, service: str) -> None:
-        """Do nothing: counts are gossiped at their own pace."""
+        """Do nothing: counts are published independently of demand."""
 
     def stalled(self, service: str) -> bool:
-        """Never: counts may be old, but are there."""
+        """Return False: the last known counts are used even if they are old."""
         return False
 
     def in_flight(self, executor: str) -> int:
-        """Requests in flight at an executor, as far as is known here."""
+        """Return the known number of requests in flight at an executor."""
         others = sum(counts.get(executor, 0) for counts in self._counts_by_member.values())
         return self._own_counts[executor] + others
 
--- a/mustardgap/slots.py
+++ b/mustardgap/slots.py
@@ -1,4 +1,4 @@
-"""Slots of executors, shared with the other entry hosts: waiting for one and giving it back."""
+"""Acquires and releases slots of executors, which all entry hosts share."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -17,14 +17,14 @@
 
 
 class SlotId(NamedTuple):
-    """One slot of one executor."""
+    """Identifies one slot of one executor."""
 
     executor: str
     position: int
 
 
 class Slot(NamedTuple):
-    """A slot of an executor; it may be used until ``deadline``, which is monotonic."""
+    """An acquired slot; it may be used until the monotonic time ``deadline``."""
 
     service: str
     id: SlotId
@@ -35,7 +35,7 @@
 
 
 class Demand(NamedTuple):
-    """What waits for a service's slots at this entry host."""
+    """The number of requests that wait for a service's slots here, and details of the first one."""
 
     waiting: int
     urgency: int
@@ -45,35 +45,35 @@
 
 
 class HasCandidates(Protocol):
-    """Which executors may be chosen."""
+    """Knows which executors may be chosen."""
 
     def candidates(self, service: str) -> list[ExecutorView]:
-        """The executors of a service that may be chosen now."""
+        """Return the executors of a service that may be chosen now."""
 
 
 class SharingPolicy(Protocol):
-    """A way of sharing an executor's slots among the entry hosts."""
+    """Shares executors' slots among the entry hosts."""
 
     def take(self, service: str, exclude: frozenset[str], deadline: float) -> Slot | None:
-        """Take a slot that is free for this entry host now."""
+        """Take a slot that this entry host may use now, or return None."""
 
     def give_back(self, slot: Slot) -> None:
         """Give a slot back."""
 
     def demand_changed(self, service: str) -> None:
-        """Note that the queue of a service has changed."""
+        """Handle a change of a service's queue."""
 
     def stalled(self, service: str) -> bool:
-        """Whether nothing can be had for now, however long the queue."""
+        """Return whether no slot is expected soon, so that waiting is useless."""
 
 
 class Slots:
-    """Hands out executors' slots; what can't be had now is waited for in urgency's order.
+    """Assigns executors' slots to requests, which wait in order of urgency.
 
     :param settings: the daemon's settings.
     :param executors: which executors may be chosen.
     :param timers: the timer service.
-    :param max_wait_s: a function that gives the longest wait a service's profile allows.
+    :param max_wait_s: returns the longest wait in seconds that a service's profile allows.
     """
 
     def __init__(
@@ -104,9 +104,9 @@
         :param service: the service.
         :param deadline: the monotonic time at which the caller gives up.
         :param urgency: 0 for the most urgent to 9 for the least.
-        :param exclude: executors not to go to, unless there are no others.
+        :param exclude: executors to avoid, unless there are no others.
         :return: the slot, to be given back with ``release``.
-        :raises SlotRefused: with the outcome, at once when waiting is hopeless.
+        :raises SlotRefused: with the outcome, at once if the wait would be too long.
         """
         now = self.timers.clock.monotonic()
         queue = self._queue(service)
@@ -132,7 +132,7 @@
         return await self._wait(queue, waiter)
 
     def release(self, slot: Slot) -> None:
-        """Give a slot back, once."""
+        """Give a slot back; call it once for each slot."""
         queue = self._queue(slot.service)
         queue.held(self.timers.clock.monotonic() - slot.taken_at)
         metrics.slots_used.add(-1, {"service": slot.service})
@@ -140,27 +140,27 @@
         self.serve(slot.service)
 
     def waiting(self, service: str) -> int:
-        """How many requests of a service wait here."""
+        """Return how many requests of a service wait here."""
         queue = self.queues_by_service.get(service)
         return len(queue) if queue is not None else 0
 
     async def run(self) -> None:
-        """Refuse in time those who wait in vain, until cancelled."""
+        """Refuse requests that would wait too long, until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             for service, queue in self.queues_by_service.items():
                 self._sweep(service, queue)
 
     def serve(self, service: str) -> None:
-        """Hand what is free to those who wait."""
+        """Assign free slots to waiting requests."""
         queue = self.queues_by_service.get(service)
         if queue is None or not len(queue):
             return
         passed_over = 0
         for waiter in list(queue):
             if waiter.future.done():
-                # Its caller has hung up in this same turn of the loop, and it can't take a slot any
-                # more; the slot would be lost, and whoever released it be told of an error.
+                # The waiter was cancelled in this loop iteration and can't accept a slot: the slot
+                # would be lost, and the error would reach the request that released it.
                 queue.remove(waiter)
                 continue
             slot = self.sharing.take(service, waiter.exclude, waiter.deadline)
@@ -174,7 +174,7 @@
         self.sharing.demand_changed(service)
 
     def demand(self, service: str) -> Demand:
-        """What waits for a service's slots here."""
+        """Return the demand for a service's slots here."""
         queue = self.queues_by_service.get(service)
         head = queue.head() if queue is not None else None
         if queue is None or head is None:
@@ -190,7 +190,7 @@
         try:
             slot: Slot = await waiter.future
         except asyncio.CancelledError:
-            # The slot may have been handed over in the same turn in which the caller went away.
+            # The slot may have been assigned in the loop iteration of the cancellation.
             if waiter.future.done() and not waiter.future.cancelled():
                 self._return_undelivered(queue, waiter.future)
             raise
--- a/tools/slots_machine.py
+++ b/tools/slots_machine.py
@@ -1,4 +1,4 @@
-"""A hypothesis state machine: entry hosts share slots while they die, part, freeze and return."""
+"""A hypothesis state machine: entry hosts share slots during crashes, partitions and freezes."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class SlotsMachine(RuleBasedStateMachine):
-    """Entry hosts on virtual time, and executors that count what runs on them."""
+    """Runs entry hosts on virtual time, with executors that count their running requests."""
 
     entries_count: ClassVar[int] = 8
     network_kind: ClassVar[str] = "orderly"
@@ -48,7 +48,7 @@
             self.network.lost_ratio = 0.05
 
     def teardown(self) -> None:
-        """End the loop."""
+        """Stop the entry hosts and close the loop."""
         if not hasattr(self, "loop"):
             return
         for entry in self.fleet.entries:
@@ -61,7 +61,7 @@
 
     @rule(count=st.integers(10, 60), hold_s=st.floats(0.01, 6.0))
     def acquire_slots(self, count: int, hold_s: float) -> None:
-        """Ask for slots at entry hosts."""
+        """Request slots at random entry hosts."""
 
         async def acquire() -> None:
             for _ in range(count):
@@ -78,7 +78,7 @@
 
     @rule(seconds=st.sampled_from([1.0, 3.0, 9.0, 14.0]), hold_s=st.sampled_from([0.05, 0.5, 4.0]))
     def saturate(self, seconds: float, hold_s: float) -> None:
-        """Ask for slots at all entry hosts for a while."""
+        """Request slots at all entry hosts for some seconds."""
 
         async def acquire() -> None:
             end = self.loop.time() + seconds
@@ -94,21 +94,21 @@
     @precondition(lambda self: "killed" in self.events and len(self._running_entries()) > 2)
     @rule(data=st.data(), replaced_s=st.floats(0.1, 10.0), same=st.booleans())
     def kill(self, data: Any, replaced_s: float, same: bool) -> None:
-        """Kill an entry host; another takes its place under the same name or a new one."""
+        """Kill an entry host and replace it by one with the same name or a new one."""
         entry = data.draw(st.sampled_from(self._running_entries()))
         self._run(self._kill(entry, replaced_s, same))
 
     @precondition(lambda self: "partitioned" in self.events)
     @rule(data=st.data())
     def partition(self, data: Any) -> None:
-        """Cut the network in two parts, of which one may have lost the log as well."""
+        """Partition the network in two; one side may lose the log as well."""
         alive = [e for e in self.fleet.entries if e.alive]
         some = data.draw(st.sets(st.sampled_from(alive), min_size=1, max_size=len(alive)))
         rest = [e for e in alive if e not in some]
         self.disconnect(some, rest, without_log=self.random.choice([[], rest, list(some)]))
 
     def disconnect(self, some: set[Entry], rest: list[Entry], *, without_log: list[Entry]) -> None:
-        """Cut some from the rest, and those who are off from the log."""
+        """Disconnect some entry hosts from the rest, and those of ``without_log`` from the log."""
         self.log.cut_hosts.update(e.members.me.host for e in without_log)
         alive = [e for e in self.fleet.entries if e in some or e in rest]
         for a in alive:
@@ -120,7 +120,7 @@
     @precondition(lambda self: "partitioned" in self.events and self.network.cut_pairs)
     @rule()
     def heal(self) -> None:
-        """Mend the network."""
+        """Restore all network and log connections."""
         self.network.cut_pairs.clear()
         self.log.cut_hosts.clear()
         for a in self.fleet.entries:
@@ -130,20 +130,20 @@
     @precondition(lambda self: "log" in self.events)
     @rule(seconds=st.sampled_from([1.0, 3.0, 14.0]), hold_s=st.sampled_from([0.05, 4.0]))
     def lose_log(self, seconds: float, hold_s: float) -> None:
-        """Let the log be out for all while slots are asked for."""
+        """Stop the log for all entry hosts while slots are requested."""
         self.log.down = True
         self.saturate(seconds, hold_s)
 
     @precondition(lambda self: "log" in self.events)
     @rule()
     def end_log_outage(self) -> None:
-        """Let the log come back."""
+        """Restart the log."""
         self.log.down = False
 
     @precondition(lambda self: "frozen" in self.events and len(self._running_entries()) > 1)
     @rule(data=st.data())
     def freeze(self, data: Any) -> None:
-        """Stop an entry host's process."""
+        """Freeze an entry host's process."""
         entry = data.draw(st.sampled_from(self._running_entries()))
         self.frozen[entry.members.me.id] = entry
         entry.freeze()
@@ -153,7 +153,7 @@
     @precondition(lambda self: "frozen" in self.events and len(self._running_entries()) > 2)
     @rule(data=st.data(), seconds=st.sampled_from([2.0, 9.0, 25.0]))
     def stay_frozen_under_load(self, data: Any, seconds: float) -> None:
-        """Stop an entry host that has idle slots, let others use all they can, wake it."""
+        """Freeze an entry host with idle slots, let others use all they can, thaw it."""
         self.saturate(1.0, 0.05)
         self.freeze(data)
         self.saturate(seconds, 4.0)
@@ -162,7 +162,7 @@
     @precondition(lambda self: "partitioned" in self.events and len(self._running_entries()) > 2)
     @rule(data=st.data(), seconds=st.sampled_from([6.0, 14.0, 25.0]))
     def partition_and_heal(self, data: Any, seconds: float) -> None:
-        """Part the network, use all that can be had on both sides, mend it."""
+        """Partition the network, use all available slots on both sides, restore it."""
         self.saturate(1.0, 0.5)
         self.partition(data)
         self.saturate(seconds, 4.0)
@@ -172,12 +172,12 @@
     @precondition(lambda self: self.frozen)
     @rule()
     def thaw(self) -> None:
-        """Let frozen processes go on."""
+        """Resume frozen processes."""
         for entry in list(self.frozen.values()):
             self._thaw(entry)
 
     def finish(self) -> None:
-        """Mend everything and see that every slot can be had."""
+        """End all faults and check that every slot can be acquired."""
         self.thaw()
         self.heal()
         self.log.down = False
@@ -213,7 +213,7 @@
             return
         now = self.loop.time()
         if entry.members.me.id in self.frozen:
-            # In a process that doesn't run, no timer hands over a slot either.
+            # In a process that is really frozen, no timer would assign a slot; don't count it.
             entry.slots.release(slot)
             return
         self.granted += 1
@@ -222,7 +222,7 @@
         running = self.executors.running[executor]
         assert running <= slot.executor.slots, f"{running} requests run on {executor}"
         await asyncio.sleep(min(hold_s, slot.deadline - now))
-        # A request runs on at its executor when its entry host has died.
+        # A request continues at its executor after its entry host was killed.
         self.executors.end(executor)
         if entry.alive:
             entry.slots.release(slot)
@@ -274,7 +274,7 @@
             entry.members._put(m._replace(state=MemberState.dead))
 
     def _track_incarnation(self, entry: Entry) -> None:
-        """Have an entry host known under its new incarnation when it starts anew."""
+        """Make an entry host known under its new incarnation when it restarts."""
 
         def changed(m: Member, old: Member | None) -> None:
             if m.host != entry.members.me.host or m.state is not MemberState.dead:
@@ -301,7 +301,7 @@
             self._later((0.1, 1.0), self._introduce_if_reachable, other, entry)
 
     async def _resume(self, entry: Entry) -> None:
-        """Let an entry host go on; callers come before it has dealt with anything else."""
+        """Resume an entry host; new requests arrive before it handles anything else."""
         held_back, entry.peers.held_back = entry.peers.held_back, []
         for _ in range(10):
             self.tasks.append(asyncio.create_task(self._use_slot(entry, 1.0)))
